--- a/admission/admission.go
+++ b/admission/admission.go
@@ -1,10 +1,12 @@
-// Package admission is a driver's front door: it says of each request, before anything is spent on it, whether the
-// driver takes it. It does no I/O and reads no clock: arrivals, ends and the time go in, verdicts come out.
+// Package admission is the admission control of one driver. Arrivals, results of requests, event loop delays, the
+// memory in use and the time go in; a decision for each arrival comes out: admit it, or refuse it with a reason and a
+// time to retry after. The server calls it before a request costs any other work; the package does no I/O and reads no
+// clock.
 //
-// Package balance refuses what no db node has room for, once it has looked. Under many times the load that the nodes
-// can serve, looking is what costs. The gate keeps the requests under way in each pool (a slice's primary, or its
-// replicas) at what is answered in time, lets the work that is worth most in first, gives no client more than its
-// part, and sheds by worth when the driver itself is late.
+// Package balance refuses a request when it finds no node with capacity, but at many times the load that the nodes can
+// serve that search is itself the cost. The gate therefore limits the requests in flight in each pool (the primary or
+// the replicas of a slice) to as many as are answered within their target, prefers classes of high value, bounds each
+// client's share of a busy pool, and sheds classes by value while the event loop is late or memory is short.
 package admission
 
 import (
@@ -18,60 +20,62 @@
 	"umberladder/balance"
 )
 
-// Tuned values.
+// Constants of the control loops.
 const (
-	grow        = 0.02 // least growth of a limit by an answer in time, in requests; else one for as many answers
-	cutLate     = 0.95
-	cutRefused  = 0.95
-	nearTarget  = 0.75
-	spared      = 0.4         // part of a limit that is for the work worth most alone
-	unfair      = 1.5         // times its equal part that a client may take of a pool that is in use
-	floods      = 0.5         // part of a pool's limit from which on one client's requests are a flood
-	owed        = 0.25        // part of a full pool's limit that comes on top, for clients that have nothing there
-	busy        = 0.5         // share of its limit from which a pool counts as in use
-	outage      = time.Second // a pool that served nothing for so long is not cut: nothing is overloaded, all is gone
-	rateSpan    = time.Second // over which rates are averaged
-	memoryFrom  = 0.7         // of the memory in live use, where work begins to be shed; what is above goes to garbage
-	memoryFull  = 0.9         // where all of it is
-	leastAdvice = 50 * time.Millisecond
-	budgetBurst = 20.0 // retries that may come before first attempts have earned any
-	budgetMost  = 200.0
-	maxPools    = 8192
-	maxClients  = 4096 // of a pool that are told apart in a span
+	minGrowth       = 0.02 // minimum growth of a limit per answer well within its target, in requests; otherwise 1/limit
+	lateFactor      = 0.95
+	refusedFactor   = 0.95
+	growBelow       = 0.75
+	reservedShare   = 0.4         // share of a limit that is reserved for the class of highest value
+	fairMultiple    = 1.5         // multiple of its equal share that a client may hold of a busy pool
+	floodShare      = 0.5         // share of a pool's limit from which one client's requests count as a flood
+	lentShare       = 0.25        // share of a pool's limit that may be lent beyond it, to clients with nothing in flight there
+	busyShare       = 0.5         // share of its limit from which a pool counts as busy
+	outageAfter     = time.Second // a pool that served nothing for this long keeps its limit: its nodes are down, not overloaded
+	rateSpan        = time.Second // time constant of the request rates
+	memoryShedStart = 0.7         // share of memory in live use where shedding begins; the rest is left for garbage
+	memoryShedAll   = 0.9         // share of memory in live use from which every request is refused
+	minRetryAfter   = 50 * time.Millisecond
+	initialBudget   = 20.0 // initial retry budget per class, so that retries pass before first attempts have earned any
+	maxBudget       = 200.0
+	maxPools        = 8192
+	maxClients      = 4096 // clients counted per pool within one rateSpan
 )
 
-// Class is what the gate must know of a class.
+// Class describes a request class to the gate. Classes with a higher Value are admitted first and shed last; Target is
+// the response time within which an answer counts as in time.
 type Class struct {
 	Name    string
-	Worth   float64
+	Value   float64
 	Target  time.Duration
-	Primary bool // only the primary serves it
+	Primary bool // requests of the class go to the primary only
 }
 
-// ClassesOf is what the gate must know of the module's classes.
+// ClassesOf converts the classes of package balance, in their order. A class that needs the newest data is served by
+// the primary only.
 func ClassesOf(classes []balance.Class) []Class {
 	out := make([]Class, len(classes))
 	for i, c := range classes {
-		out[i] = Class{Name: c.Name, Worth: c.Worth, Target: c.Target, Primary: c.Need <= balance.NeedFresh}
+		out[i] = Class{Name: c.Name, Value: c.Worth, Target: c.Target, Primary: c.Need <= balance.NeedFresh}
 	}
 	return out
 }
 
-// Config is what a gate is told at its start.
+// Config configures a Gate.
 type Config struct {
 	Classes   []Class
-	MaxOpen   int           // requests under way, of all pools
-	MaxBytes  int           // held for them
-	Start     int           // limit of a pool that nothing is known of
-	Least     int           // below which no limit falls
-	Fixed     bool          // limits stay at Start: for comparisons
-	Retries   float64       // further attempts of clients that each first one earns
-	LoopLate  time.Duration // a loop that is later than this
-	LoopSpan  time.Duration // for so long sheds work
-	MaxAdvice time.Duration // the longest time for which a client is told to stay away
-}
-
-// Defaults is a Config for most sites; classes are the site's.
+	MaxOpen   int           // maximum of requests in flight over all pools; positive
+	MaxBytes  int           // maximum of their total size, in bytes; positive
+	Start     int           // initial limit of a pool, in requests in flight; positive
+	Least     int           // minimum limit of a pool, from 1 to the initial limit
+	Fixed     bool          // limits keep their initial value; the baseline in comparisons
+	Retries   float64       // retry budget that each first attempt earns, in further attempts; not negative
+	LoopLate  time.Duration // event loop delay above which the driver counts as late; positive
+	LoopSpan  time.Duration // length of the window whose minimum delay is compared with it; positive
+	MaxAdvice time.Duration // upper bound of the retry time given to a refused client
+}
+
+// Defaults returns a Config that suits most sites, without Classes.
 func Defaults() Config {
 	return Config{MaxOpen: 20000, MaxBytes: 128 << 20, Start: 64, Least: 8, Retries: 0.2, LoopLate: 20 * time.Millisecond,
 		LoopSpan: 100 * time.Millisecond, MaxAdvice: 5 * time.Second}
@@ -84,85 +88,85 @@
 	}{{"Classes", len(c.Classes) > 0}, {"MaxOpen", c.MaxOpen > 0}, {"MaxBytes", c.MaxBytes > 0}, {"Start", c.Start > 0},
 		{"Least", c.Least > 0 && c.Least <= c.Start}, {"Retries", c.Retries >= 0}, {"LoopLate", c.LoopLate > 0}, {"LoopSpan", c.LoopSpan > 0}} {
 		if !f.ok {
-			return fmt.Errorf("admission: %s is not set, or not as it must be", f.name)
+			return fmt.Errorf("admission: %s is missing or out of range", f.name)
 		}
 	}
 	return nil
 }
 
-// Why tells why a request is not taken.
+// Why is the reason why a request was admitted or refused.
 type Why uint8
 
-// The reasons.
+// Reasons.
 const (
 	Taken   Why = iota
-	Open        // MaxOpen
-	Bytes       // MaxBytes
-	Full        // its pool's limit
-	Share       // its client's part of the pool
-	Worth       // its pool's room is left to work that is worth more
-	Late        // the driver is late, and other work is worth more
-	Memory      // the driver is near the memory that it may take up
-	Retried     // too many further attempts
+	Open        // the maximum of requests is in flight
+	Bytes       // the maximum of bytes would be exceeded
+	Full        // the pool is at its limit
+	Share       // the client has its share of a busy pool
+	Worth       // the pool's remaining capacity is reserved for classes of higher value
+	Late        // the event loop is late and the class is being shed
+	Memory      // memory is short and the class is being shed
+	Retried     // the retry budget of the class is used up
 	reasons int = iota
 )
 
-// String is a word for metrics.
+// String returns the value of the metric label.
 func (w Why) String() string {
 	return [...]string{"taken", "open", "bytes", "full", "share", "worth", "late", "memory", "retries"}[w]
 }
 
-// Verdict is what becomes of an arrival.
+// Verdict is the decision on one arrival.
 type Verdict struct {
 	Why     Why
-	After   time.Duration // of a refusal: when to come back
-	NoRetry bool          // of a refusal: this very request must not come again
+	After   time.Duration // if refused: time to wait before a retry, at least minRetryAfter
+	NoRetry bool          // if refused: the client must not retry this request
 }
 
-// Ask is an arrival.
+// Ask describes an arriving request. Class is an index into Config.Classes, Bytes the size of the request.
 type Ask struct {
 	Client  string
 	Slice   string
 	Class   int
 	Bytes   int
-	Attempt int // 0 for a client's first
+	Attempt int // 0 for the first attempt
 }
 
-// End is how a request that was taken ended.
+// End is the result of an admitted request.
 type End uint8
 
-// The ends.
+// Results.
 const (
 	Served  End = iota
-	Refused     // no node had room for it in time
-	Other       // failed, left, or refused for reasons of its own: tells nothing of room
+	Refused     // no node had capacity in time
+	Other       // failed, cancelled, or refused for another reason: no evidence of overload
 )
 
-// Ticket is a request that was taken; it comes back once, with Done.
+// Ticket represents an admitted request until it is passed to Done.
 type Ticket struct {
 	pool   *pool
 	client string
 	class  int
 	bytes  int
-	owed   bool // on top of a full pool's limit
+	lent   bool // lent beyond the limit of a full pool
 	at     time.Duration
 }
 
-// Gate is one driver's. It is not safe for concurrent use.
+// Gate is the admission control of one driver. It is not safe for concurrent use.
 type Gate struct {
-	cfg    Config
-	rng    *rand.Rand
-	ranks  []float64 // by class, from 0 for what is worth least to 1
-	rooms  []float64 // by class, the part of a pool's limit that it may use
-	pools  map[poolKey]*pool
-	open   int
-	bytes  int
-	budget []float64 // by class, of further attempts
-	level  int       // classes shed for the loop's sake, those worth least first
-	tight  int       // likewise for the memory's sake; one more than there are classes is all
-	least  time.Duration
-	since  time.Duration // when the loop's present span began
-	counts [reasons]uint64
+	cfg         Config
+	rng         *rand.Rand
+	ranks       []float64 // by class, from 0 for the lowest value to 1 for the highest
+	limitShares []float64 // by class, the share of a pool's limit that it may use
+	pools       map[poolKey]*pool
+	open        int
+	bytes       int
+	budget      []float64 // by class, the further attempts that may still be admitted
+	loopLevel   int       // number of classes shed because the loop is late, lowest value first
+	memoryLevel int       // likewise because memory is short; the number of classes plus one sheds everything
+	minDelay    time.Duration
+	windowStart time.Duration // start of the current loop window
+	counts      [reasons]uint64
 }
 
 type poolKey struct {
@@ -170,24 +174,24 @@
 	primary bool
 }
 
-// pool is what requests to a slice's primary, or to its replicas, share.
+// pool is the state that requests to a slice's primary, or to its replicas, share.
 type pool struct {
-	limit    float64
-	out      int
-	clients  map[string]int     // under way, by client
-	heaviest string             // the client with the most of them, or one that had
-	owed     int                // under way on top of the limit
-	asking   [2]map[string]bool // clients that asked in the present span and in the one before
-	span     time.Duration      // when the present one began
-	latency  float64            // mean, ns
-	cutAt    time.Duration
-	served   time.Duration // when it served last
-	taken    rate
-	turned   rate
-	occupied int // most under way since its limit moved
-}
-
-// rate is an exponential average of events a second.
+	limit         float64
+	inFlight      int
+	clients       map[string]int     // requests in flight, by client
+	heaviest      string             // a client that has, or had, the most requests in flight
+	lent          int                // requests in flight beyond the limit
+	recentClients [2]map[string]bool // clients with arrivals in the current and in the previous span
+	spanStart     time.Duration
+	latency       float64 // moving average, in ns
+	lastCut       time.Duration
+	lastServed    time.Duration
+	admitted      rate
+	refused       rate
+	peak          int // maximum in flight since the limit last changed
+}
+
+// rate is an exponentially decayed count of events; with a time constant of one second it is about a rate per second.
 type rate struct {
 	n  float64
 	at time.Duration
@@ -202,50 +206,52 @@
 	return r.n * math.Exp(-float64(now-r.at)/float64(rateSpan))
 }
 
-// New makes a gate. An unusable Config is an error. The seed settles how advice is spread.
+// New returns a gate. It returns an error that names the first invalid field of the Config. The seed determines the
+// random part of the advised retry times.
 func New(cfg Config, seed uint64) (*Gate, error) {
 	if err := cfg.check(); err != nil {
 		return nil, err
 	}
 	g := &Gate{cfg: cfg, rng: rand.New(rand.NewPCG(seed, 0x61646d)), pools: map[poolKey]*pool{}, budget: make([]float64, len(cfg.Classes))}
 	for i := range g.budget {
-		g.budget[i] = budgetBurst
+		g.budget[i] = initialBudget
 	}
-	g.rank()
+	g.computeRanks()
 	return g, nil
 }
 
-// rank orders the classes by worth, equal ones alike: all of them, for a late loop, and those that share pools.
-func (g *Gate) rank() {
-	g.ranks, g.rooms = make([]float64, len(g.cfg.Classes)), make([]float64, len(g.cfg.Classes))
+// computeRanks computes the rank of each class among all classes, used when the loop or memory sheds, and among the
+// classes that use the same pools, used to reserve capacity. Classes of equal value have equal ranks.
+func (g *Gate) computeRanks() {
+	g.ranks, g.limitShares = make([]float64, len(g.cfg.Classes)), make([]float64, len(g.cfg.Classes))
 	for i, c := range g.cfg.Classes {
 		g.ranks[i] = g.rankOf(c, func(Class) bool { return true })
-		g.rooms[i] = 1 - spared*(1-g.rankOf(c, func(o Class) bool { return o.Primary == c.Primary }))
+		g.limitShares[i] = 1 - reservedShare*(1-g.rankOf(c, func(o Class) bool { return o.Primary == c.Primary }))
 	}
 }
 
-// rankOf is a class's place among some, from 0 for what is worth least to 1.
+// rankOf returns the rank of a class among the selected ones, from 0 for the lowest value to 1 for the highest.
 func (g *Gate) rankOf(c Class, among func(Class) bool) float64 {
-	var worths []float64
+	var values []float64
 	for _, o := range g.cfg.Classes {
 		if among(o) {
-			worths = append(worths, o.Worth)
+			values = append(values, o.Value)
 		}
 	}
-	slices.Sort(worths)
-	worths = slices.Compact(worths)
-	if len(worths) == 1 {
+	slices.Sort(values)
+	values = slices.Compact(values)
+	if len(values) == 1 {
 		return 1
 	}
-	at, _ := slices.BinarySearch(worths, c.Worth)
-	return float64(at) / float64(len(worths)-1)
+	at, _ := slices.BinarySearch(values, c.Value)
+	return float64(at) / float64(len(values)-1)
 }
 
-func (g *Gate) poolOf(a *Ask) *pool {
+func (g *Gate) poolFor(a *Ask) *pool {
 	key := poolKey{a.Slice, g.cfg.Classes[a.Class].Primary}
 	p := g.pools[key]
 	if p == nil && len(g.pools) >= maxPools {
-		key.slice = "" // names that nobody knows must not fill the memory
+		key.slice = "" // unknown slice names share a pool, so that they cannot exhaust memory
 		p = g.pools[key]
 	}
 	if p == nil {
@@ -255,60 +261,62 @@
 	return p
 }
 
-// Arrive takes a request or refuses it. A class that is not there is taken: who knows better refuses it.
+// Arrive admits or refuses a request. The ticket is nil if the request is refused. An unknown class is admitted and not
+// counted: it is validated, and refused, elsewhere.
 func (g *Gate) Arrive(now time.Duration, a Ask) (*Ticket, Verdict) {
 	if a.Class < 0 || a.Class >= len(g.cfg.Classes) {
 		return &Ticket{class: -1}, Verdict{}
 	}
-	p := g.poolOf(&a)
-	p.asks(now, a.Client)
-	why := g.refuses(p, &a)
-	owed := why == Full && g.owes(p, a.Client)
-	if owed {
-		why = g.retries(&a)
+	p := g.poolFor(&a)
+	p.noteArrival(now, a.Client)
+	why := g.reasonFor(p, &a)
+	borrows := why == Full && g.mayBorrow(p, a.Client)
+	if borrows {
+		why = g.chargeRetry(&a)
 	}
 	g.counts[why]++
 	if why != Taken {
-		p.turned.add(now, 1)
-		return nil, Verdict{Why: why, After: g.advice(p, now), NoRetry: why == Retried}
+		p.refused.add(now, 1)
+		return nil, Verdict{Why: why, After: g.retryAfter(p, now), NoRetry: why == Retried}
 	}
-	p.taken.add(now, 1)
-	p.out++
-	p.occupied = max(p.occupied, p.out)
-	p.adds(a.Client)
-	if owed {
-		p.owed++
+	p.admitted.add(now, 1)
+	p.inFlight++
+	p.peak = max(p.peak, p.inFlight)
+	p.addClient(a.Client)
+	if borrows {
+		p.lent++
 	}
 	g.open++
 	g.bytes += a.Bytes
-	return &Ticket{pool: p, client: a.Client, class: a.Class, bytes: a.Bytes, owed: owed, at: now}, Verdict{}
+	return &Ticket{pool: p, client: a.Client, class: a.Class, bytes: a.Bytes, lent: borrows, at: now}, Verdict{}
 }
 
-func (g *Gate) refuses(p *pool, a *Ask) Why {
-	switch room := p.limit * g.rooms[a.Class]; {
+func (g *Gate) reasonFor(p *pool, a *Ask) Why {
+	switch classLimit := p.limit * g.limitShares[a.Class]; {
 	case g.open >= g.cfg.MaxOpen:
 		return Open
 	case g.bytes+a.Bytes > g.cfg.MaxBytes:
 		return Bytes
-	case g.shed(a.Class):
+	case g.shedForLoop(a.Class):
 		return Late
-	case g.tight > len(g.cfg.Classes) || g.below(a.Class, g.tight):
+	case g.memoryLevel > len(g.cfg.Classes) || g.shedAt(a.Class, g.memoryLevel):
 		return Memory
-	case float64(p.out) >= p.limit:
+	case float64(p.inFlight) >= p.limit:
 		return Full
-	case float64(p.out) >= room:
+	case float64(p.inFlight) >= classLimit:
 		return Worth
-	case float64(p.out) >= busy*p.limit && g.greedy(p, a.Client):
+	case float64(p.inFlight) >= busyShare*p.limit && g.overShare(p, a.Client):
 		return Share
 	}
-	return g.retries(a)
+	return g.chargeRetry(a)
 }
 
-// retries takes a further attempt out of its class's budget; a first one earns some.
-func (g *Gate) retries(a *Ask) Why {
+// chargeRetry charges a further attempt to the budget of its class, and credits the budget for a first attempt. This
+// keeps retries from multiplying an overload.
+func (g *Gate) chargeRetry(a *Ask) Why {
 	switch budget := &g.budget[a.Class]; {
 	case a.Attempt == 0:
-		*budget = min(*budget+g.cfg.Retries, budgetMost)
+		*budget = min(*budget+g.cfg.Retries, maxBudget)
 	case *budget < 1:
 		return Retried
 	default:
@@ -317,68 +325,73 @@
 	return Taken
 }
 
-// greedy tells whether a client has more under way than its part of a pool that others use too.
-func (g *Gate) greedy(p *pool, client string) bool {
-	all := max(len(p.clients), len(p.asking[0]), len(p.asking[1]))
-	return all > 1 && float64(p.clients[client]) >= max(1, unfair*p.limit/float64(all))
+// overShare reports whether a client exceeds its share of a pool that others use too, so that one client cannot starve
+// the others.
+func (g *Gate) overShare(p *pool, client string) bool {
+	all := max(len(p.clients), len(p.recentClients[0]), len(p.recentClients[1]))
+	return all > 1 && float64(p.clients[client]) >= max(1, fairMultiple*p.limit/float64(all))
 }
 
-// owes tells whether a pool that is full owes a client a place: the client has none, and another floods, as it came
-// first or as the limit fell under what it has. A part of the limit is lent so, and no more.
-func (g *Gate) owes(p *pool, client string) bool {
-	return p.clients[client] == 0 && p.heaviest != client && float64(p.clients[p.heaviest]) >= floods*p.limit && float64(p.owed) < max(1, owed*p.limit)
+// mayBorrow reports whether a client may be admitted beyond the limit of a full pool: it has nothing in flight there,
+// and another client floods the pool, because it came first or because the limit fell below what it already had in
+// flight. Without this the others would starve until the flood's requests end. At most the share lentShare of the limit
+// is lent.
+func (g *Gate) mayBorrow(p *pool, client string) bool {
+	return p.clients[client] == 0 && p.heaviest != client && float64(p.clients[p.heaviest]) >= floodShare*p.limit && float64(p.lent) < max(1, lentShare*p.limit)
 }
 
-func (p *pool) adds(client string) {
+func (p *pool) addClient(client string) {
 	p.clients[client]++
 	if p.clients[client] > p.clients[p.heaviest] {
 		p.heaviest = client
 	}
 }
 
-// asks takes note that a client wants something of a pool, whether it gets it or not.
-func (p *pool) asks(now time.Duration, client string) {
-	if now-p.span >= rateSpan || p.asking[0] == nil {
-		p.asking[0], p.asking[1], p.span = map[string]bool{}, p.asking[0], now
+// noteArrival records that a client uses a pool, whether it is admitted or not.
+func (p *pool) noteArrival(now time.Duration, client string) {
+	if now-p.spanStart >= rateSpan || p.recentClients[0] == nil {
+		p.recentClients[0], p.recentClients[1], p.spanStart = map[string]bool{}, p.recentClients[0], now
 	}
-	if len(p.asking[0]) < maxClients {
-		p.asking[0][client] = true
+	if len(p.recentClients[0]) < maxClients {
+		p.recentClients[0][client] = true
 	}
 }
 
-// shed tells whether a class is refused for the sake of a late loop. Of the class worth most, half are.
-func (g *Gate) shed(class int) bool {
+// shedForLoop reports whether a request of a class is refused because the loop is late. Of the class of highest value
+// only half the requests are, and only once all other classes are shed.
+func (g *Gate) shedForLoop(class int) bool {
 	if g.ranks[class] == 1 {
-		return g.level > len(g.cfg.Classes) && g.rng.IntN(2) == 0
+		return g.loopLevel > len(g.cfg.Classes) && g.rng.IntN(2) == 0
 	}
-	return g.below(class, g.level)
+	return g.shedAt(class, g.loopLevel)
 }
 
-// below tells whether a class is among those that are shed at a level, from the one worth least on. The class worth
-// most never is.
-func (g *Gate) below(class, level int) bool {
+// shedAt reports whether a class is shed at a level, counted from the class of lowest value. The class of highest value
+// never is.
+func (g *Gate) shedAt(class, level int) bool {
 	return g.ranks[class] < 1 && g.ranks[class]*float64(len(g.cfg.Classes)) < float64(level)
 }
 
-// Memory takes which part of the memory that the process may take up is in live use. From memoryFrom on classes are
-// shed, more the closer it comes to memoryFull; from there every request is refused.
+// Memory sets the share of the process's memory limit that is in live use, from 0 to 1. Above memoryShedStart classes
+// are shed, the more the closer it is to memoryShedAll; from memoryShedAll on every request is refused.
 func (g *Gate) Memory(used float64) {
 	classes := len(g.cfg.Classes)
-	over := (used - memoryFrom) / (memoryFull - memoryFrom)
-	if g.tight = max(0, int(math.Ceil(over*float64(classes)))); over >= 1 {
-		g.tight = classes + 1
+	over := (used - memoryShedStart) / (memoryShedAll - memoryShedStart)
+	if g.memoryLevel = max(0, int(math.Ceil(over*float64(classes)))); over >= 1 {
+		g.memoryLevel = classes + 1
 	}
 }
 
-// advice is when a refused client should come back: the later the more are refused for each that is taken, drawn so
-// that a crowd does not come back together.
-func (g *Gate) advice(p *pool, now time.Duration) time.Duration {
-	over := p.turned.now(now) / max(p.taken.now(now), 1)
-	wait := time.Duration((0.5 + g.rng.Float64()) * min(over, 100) * float64(max(time.Duration(p.latency), leastAdvice)))
-	return min(max(wait, leastAdvice), g.cfg.MaxAdvice)
+// retryAfter returns the time after which a refused client should retry. It grows with the number of refusals per
+// admitted request and is randomized, so that refused clients don't retry at the same moment.
+func (g *Gate) retryAfter(p *pool, now time.Duration) time.Duration {
+	over := p.refused.now(now) / max(p.admitted.now(now), 1)
+	wait := time.Duration((0.5 + g.rng.Float64()) * min(over, 100) * float64(max(time.Duration(p.latency), minRetryAfter)))
+	return min(max(wait, minRetryAfter), g.cfg.MaxAdvice)
 }
 
-// Done takes back a ticket. Each ticket comes back once.
+// Done releases an admitted request and adjusts the limit of its pool. A second call with the same ticket has no
+// effect.
 func (g *Gate) Done(now time.Duration, t *Ticket, end End) {
 	p := t.pool
 	if p == nil {
@@ -387,80 +400,82 @@
 	t.pool = nil
 	g.open--
 	g.bytes -= t.bytes
-	if t.owed {
-		p.owed--
+	if t.lent {
+		p.lent--
 	}
 	if p.clients[t.client]--; p.clients[t.client] <= 0 {
 		delete(p.clients, t.client)
 	}
-	g.learn(now, p, t, end)
-	p.out--
+	g.adjust(now, p, t, end)
+	p.inFlight--
 }
 
-// learn moves a pool's limit. It grows while what it lets in is answered well within its target and it is in use;
-// it falls with late answers, and with requests that no node had room for while others were served.
-func (g *Gate) learn(now time.Duration, p *pool, t *Ticket, end End) {
+// adjust changes the limit of a pool after a request. The limit grows while the pool is busy and its answers come well
+// within their target; it falls with late answers, and with requests that no node had capacity for while others were
+// served.
+func (g *Gate) adjust(now time.Duration, p *pool, t *Ticket, end End) {
 	took, target := now-t.at, g.cfg.Classes[t.class].Target
 	switch {
 	case end == Served:
-		p.served = now
+		p.lastServed = now
 		p.latency += 0.05 * (float64(took) - p.latency)
 		if took > target {
-			g.cut(now, p, target, cutLate)
-		} else if float64(took) <= nearTarget*float64(target) && float64(p.occupied) >= busy*p.limit && !g.cfg.Fixed {
-			more := max(1/p.limit, grow)
-			if p.cutAt == 0 {
-				more = 1 // nothing has shown yet where the end is: as fast as answers come
+			g.lowerLimit(now, p, target, lateFactor)
+		} else if float64(took) <= growBelow*float64(target) && float64(p.peak) >= busyShare*p.limit && !g.cfg.Fixed {
+			more := max(1/p.limit, minGrowth)
+			if p.lastCut == 0 {
+				more = 1 // slow start: until the first cut the limit grows by one per answer
 			}
 			p.limit = min(p.limit+more, float64(g.cfg.MaxOpen))
-			p.occupied = p.out
+			p.peak = p.inFlight
 		}
-	case end == Refused && p.served > 0 && now-p.served < outage:
-		g.cut(now, p, target, cutRefused)
+	case end == Refused && p.lastServed > 0 && now-p.lastServed < outageAfter:
+		g.lowerLimit(now, p, target, refusedFactor)
 	}
 }
 
-// cut lowers a limit, once for each time that news of the cut takes. While little of it is in use, a late answer
-// tells nothing of it.
-func (g *Gate) cut(now time.Duration, p *pool, target time.Duration, factor float64) {
-	news := min(p.latency, float64(target)/2) // what waits for long must not slow the cuts that would end its wait
-	if g.cfg.Fixed || float64(now-p.cutAt) < news || float64(p.out) < busy*p.limit {
+// lowerLimit lowers a limit, at most once per typical latency, since the effect of a cut takes that long to show. A
+// late answer does not count while little of the limit is in use: the limit is not its cause.
+func (g *Gate) lowerLimit(now time.Duration, p *pool, target time.Duration, factor float64) {
+	interval := min(p.latency, float64(target)/2) // long latencies must not delay the cuts that would shorten them
+	if g.cfg.Fixed || float64(now-p.lastCut) < interval || float64(p.inFlight) < busyShare*p.limit {
 		return
 	}
 	p.limit = max(float64(g.cfg.Least), p.limit*factor)
-	p.cutAt, p.occupied = now, p.out
+	p.lastCut, p.peak = now, p.inFlight
 }
 
-// Looped takes how long what the loop takes up now had waited for it. A loop that is late for a whole span sheds one
-// class more, one that is not, one less, after CoDel: the least wait of a span tells a queue that stands from a burst.
+// Looped records how long an event waited for the event loop. After each loop window one more class is shed if the
+// minimum delay within the window shows that the loop is late, else one less. As in CoDel, the minimum distinguishes
+// a standing queue from a burst.
 func (g *Gate) Looped(now, waited time.Duration) {
-	if g.since == 0 {
-		g.since, g.least = now, waited
+	if g.windowStart == 0 {
+		g.windowStart, g.minDelay = now, waited
 	}
-	g.least = min(g.least, waited)
-	if now-g.since < g.cfg.LoopSpan {
+	g.minDelay = min(g.minDelay, waited)
+	if now-g.windowStart < g.cfg.LoopSpan {
 		return
 	}
-	if g.least > g.cfg.LoopLate {
-		g.level = min(g.level+1, len(g.cfg.Classes)+1)
+	if g.minDelay > g.cfg.LoopLate {
+		g.loopLevel = min(g.loopLevel+1, len(g.cfg.Classes)+1)
 	} else {
-		g.level = max(g.level-1, 0)
+		g.loopLevel = max(g.loopLevel-1, 0)
 	}
-	g.since, g.least = now, waited
+	g.windowStart, g.minDelay = now, waited
 }
 
-// Stats is what a gate has at present.
+// Stats is a snapshot of a gate.
 type Stats struct {
 	Open    int
 	Bytes   int
-	Level   int // classes shed for the loop's sake
-	Tight   int // for the memory's
+	Level   int // number of classes shed because the loop is late
+	Tight   int // likewise because memory is short; the number of classes plus one sheds everything
 	Counts  map[string]uint64
 	Pools   []PoolStats
 	Refused uint64
 }
 
-// PoolStats is one pool's part.
+// PoolStats is a snapshot of one pool.
 type PoolStats struct {
 	Slice   string
 	Primary bool
@@ -469,9 +484,9 @@
 	Clients int
 }
 
-// Stats tells it, pools in order of slice.
+// Stats returns a snapshot, with the pools sorted by slice, replicas first.
 func (g *Gate) Stats() Stats {
-	st := Stats{Open: g.open, Bytes: g.bytes, Level: g.level, Tight: g.tight, Counts: map[string]uint64{}}
+	st := Stats{Open: g.open, Bytes: g.bytes, Level: g.loopLevel, Tight: g.memoryLevel, Counts: map[string]uint64{}}
 	for w, n := range g.counts {
 		st.Counts[Why(w).String()] = n
 		if Why(w) != Taken {
@@ -479,7 +494,7 @@
 		}
 	}
 	for key, p := range g.pools {
-		st.Pools = append(st.Pools, PoolStats{key.slice, key.primary, p.limit, p.out, len(p.clients)})
+		st.Pools = append(st.Pools, PoolStats{key.slice, key.primary, p.limit, p.inFlight, len(p.clients)})
 	}
 	slices.SortFunc(st.Pools, func(a, b PoolStats) int {
 		return cmp.Or(cmp.Compare(a.Slice, b.Slice), cmp.Compare(fmt.Sprint(a.Primary), fmt.Sprint(b.Primary)))
