--- a/membership/address.go
+++ b/membership/address.go
@@ -8,26 +8,26 @@
 	"umberladder/inventory"
 )
 
-// Resolved takes what the names of nodes stand for: by node, its addresses with port, as a resolver told. A node
-// without an entry counts as not resolved, and so as sharing with nobody.
+// Resolved sets the addresses, with port, that each node's name resolved to. A node without an entry counts as
+// unresolved and shares its address with no other node.
 //
-// Two names at one address are one process. A node that is yet to come in and shares its address with one in force
-// is held back. Of two in force none is taken away on a resolver's word, which may be wrong for all at once; they are
-// said, and a drain of either binds both.
+// Two names at one address are one database process. A new node that shares its address with a member in force is held
+// back. Of two members in force neither is removed, as a resolver may return a wrong address for all names at once;
+// they are reported in Change.Shared, and a drain of either drains both.
 func (m *Module) Resolved(now time.Duration, addresses map[string][]string) Change {
 	m.resolved = maps.Clone(addresses)
-	return m.settle(now)
+	return m.apply(now)
 }
 
-// share settles who stands at an address that another has, and what that does to their states.
-func (m *Module) share() {
+// findShared finds the nodes that share an address and updates their states.
+func (m *Module) findShared() {
 	at := map[string][]*member{}
 	for _, k := range m.members {
-		k.twin = nil
+		k.duplicate = nil
 	}
 	for _, name := range slices.Sorted(maps.Keys(m.resolved)) {
 		k := m.members[name]
-		if k == nil || k.gone {
+		if k == nil || k.removed {
 			continue
 		}
 		for _, a := range m.resolved[name] {
@@ -36,44 +36,45 @@
 	}
 	for _, all := range at {
 		if len(all) > 1 {
-			pair(all)
+			linkDuplicates(all)
 		}
 	}
 	for _, k := range m.members {
-		k.bind()
+		k.inheritDrain()
 	}
 }
 
-// pair has each of some nodes at one address know another: who is in force the first such, who is not one in force.
-func pair(all []*member) {
+// linkDuplicates links the nodes at one address: each to the first node in force, or to the first node if none is, and
+// that one to the next.
+func linkDuplicates(all []*member) {
 	first := all[0]
-	if i := slices.IndexFunc(all, func(k *member) bool { return k.in }); i >= 0 {
+	if i := slices.IndexFunc(all, func(k *member) bool { return k.active }); i >= 0 {
 		first = all[i]
 	}
 	for _, k := range all {
 		switch {
-		case k != first && (k.twin == nil || first.node.Name < k.twin.node.Name):
-			k.twin = first
-		case k == first && k.twin == nil:
-			k.twin = all[(slices.Index(all, k)+1)%len(all)]
+		case k != first && (k.duplicate == nil || first.node.Name < k.duplicate.node.Name):
+			k.duplicate = first
+		case k == first && k.duplicate == nil:
+			k.duplicate = all[(slices.Index(all, k)+1)%len(all)]
 		}
 	}
 }
 
-// bind settles whether a node counts as draining since its twin does. Calling that off makes another node of it, as
-// a drain once told binds for good.
-func (k *member) bind() {
-	bound := k.twin != nil && k.node.State == inventory.Ready && k.twin.node.State != inventory.Ready && k.twin.in
-	if k.bound && !bound {
+// inheritDrain makes a ready node count as draining while its duplicate in force drains: both names reach the drained
+// process. When that ends the node becomes a new instance, as a drain of an instance is final.
+func (k *member) inheritDrain() {
+	inherits := k.duplicate != nil && k.node.State == inventory.Ready && k.duplicate.node.State != inventory.Ready && k.duplicate.active
+	if k.inheritedDrain && !inherits {
 		k.instance++
 	}
-	k.bound = bound
+	k.inheritedDrain = inherits
 }
 
-// inForce is the node as it counts.
-func (k *member) inForce() Member {
+// effective returns the member with the state that is in force.
+func (k *member) effective() Member {
 	n := k.node
-	if k.bound {
+	if k.inheritedDrain {
 		n.State = inventory.Draining
 	}
 	return Member{n, k.instance}
--- a/membership/diff.go
+++ b/membership/diff.go
@@ -8,7 +8,7 @@
 	"umberladder/inventory"
 )
 
-// Step is one thing that a driver would do when a list takes the place of another.
+// Step is one action that a driver would take when one list replaces another.
 type Step struct {
 	What  string // add, remove, move, drain, gone, ready, restart, hall, labels, hold
 	Node  string
@@ -16,8 +16,8 @@
 	Note  string
 }
 
-// Diff is what a driver with list a in force would do on list b: what it takes at once or by and by, and what
-// it would hold back.
+// Diff returns the actions that a driver with list a in force would take on list b, at once or after a delay, and the
+// removals that it would hold back, sorted by slice and node. It only compares lists and affects no driver.
 func Diff(cfg Config, a, b *inventory.Set) []Step {
 	m := New(cfg, 1)
 	m.List(0, a)
@@ -42,9 +42,9 @@
 	}
 	for name, n := range old {
 		if held[name].Lacked {
-			add(n, "hold", "the list lacks it; it stays until confirmed: "+held[name].Why)
+			add(n, "hold", "missing from the list; stays until confirmed: "+held[name].Why)
 		} else {
-			add(n, "remove", "the list lacks it")
+			add(n, "remove", "missing from the list")
 		}
 	}
 	slices.SortStableFunc(steps, func(x, y Step) int { return cmp.Or(cmp.Compare(x.Slice, y.Slice), cmp.Compare(x.Node, y.Node)) })
@@ -53,18 +53,18 @@
 
 func compare(was, n inventory.Node, add func(inventory.Node, string, string)) {
 	if was.Address() != n.Address() || was.Slice != n.Slice {
-		add(n, "move", was.Slice+" "+was.Address()+" to "+n.Slice+" "+n.Address()+", as another node")
+		add(n, "move", was.Slice+" "+was.Address()+" to "+n.Slice+" "+n.Address()+", as a new instance")
 	}
 	if was.State != n.State {
 		add(n, map[inventory.State]string{inventory.Ready: "ready", inventory.Draining: "drain", inventory.Gone: "gone"}[n.State], "was "+string(was.State))
 	}
 	if !was.Started.Equal(n.Started) && !n.Started.IsZero() {
-		add(n, "restart", "it counts as cold")
+		add(n, "restart", "counts as cold")
 	}
 	if was.Hall != n.Hall {
 		add(n, "hall", was.Hall+" to "+n.Hall)
 	}
 	if !maps.Equal(was.Labels, n.Labels) {
-		add(n, "labels", "they changed")
+		add(n, "labels", "changed")
 	}
 }
--- a/membership/membership.go
+++ b/membership/membership.go
@@ -1,15 +1,15 @@
-// Package membership turns what an inventory says into what a driver may take of it at a time. It does no I/O
-// and reads no clock: sets, confirmations and the time go in, the members in force and what is held back
-// come out.
+// Package membership decides which changes of an inventory a driver applies and which it holds back. Inventory lists,
+// resolved addresses, an operator's confirmations and the time go in; the members in force and the changes held back
+// come out. The server's inventory follower calls it; the package does no I/O and reads no clock.
 //
-//   - What the list says of a node's state binds at once, above all a drain.
-//   - What a list merely lacks is doubted: where it lacks more than a share of a slice, or the last ready
-//     member of one, the missing ones stay in force until somebody confirms it or the list has stood
-//     unchanged for a while. A file that was cut still parses as a shorter list.
-//   - New members come in over a time that grows with how many there are and how many drivers take them, at
-//     moments drawn by each driver for itself, so that no node meets all drivers at once.
-//   - Two names that stand for one address are one node: the newcomer waits, and a drain of either binds both.
-//   - A node whose state is called back and forth waits longer with each time before it is taken again.
+//   - The state that a list gives a node applies at once, above all a drain.
+//   - A node that is missing from a list may be an error, as a truncated file still parses as a shorter list. If too
+//     large a share of a slice, or its last ready member, is missing, the missing nodes stay in force until an
+//     operator confirms the list or it has been unchanged for a configured time.
+//   - New members join after a random delay, drawn by each driver on its own, so that a node does not get connections
+//     from all drivers at once. The delays grow with the number of new members and of drivers.
+//   - Two names that resolve to one address are one node: a new name is held back, and a drain of either name drains both.
+//   - A node that flaps between ready and draining is held back longer each time.
 package membership
 
 import (
@@ -22,147 +22,150 @@
 	"umberladder/inventory"
 )
 
-// Config is how careful to be.
+// Config sets how cautiously changes are applied.
 type Config struct {
-	MostLost     float64       // share of a slice's members that a list may lack at once
-	ConfirmAfter time.Duration // a list that has stood unchanged for so long is taken as it is; 0 for never
-	Drivers      int           // drivers that follow the same list; 0 if not known
-	Together     int           // drivers that may come to a new node within Step
+	MostLost     float64       // share of a slice's members, from 0 to 1, whose absence from a list is applied without confirmation
+	ConfirmAfter time.Duration // age at which an unchanged list is taken as confirmed; 0 for never
+	Drivers      int           // number of drivers that follow the same list; 0 if unknown
+	Together     int           // number of drivers that may connect to a new node within Step, on average
 	Step         time.Duration
-	OwnPace      int           // new nodes that one driver takes within Step
-	FlapWindow   time.Duration // within it, a node that was called back
-	FlapLimit    int           // more often than this waits,
-	FlapHold     time.Duration // for so long, and twice as long each further time
+	OwnPace      int           // number of new nodes that one driver adds within Step, on average
+	FlapWindow   time.Duration // window over which returns of a node to ready are counted
+	FlapLimit    int           // number of returns within FlapWindow up to which a node is not held back
+	FlapHold     time.Duration // time for which the next return is held back; it doubles with each further one, up to 64 times FlapHold
 }
 
-// Defaults is a Config for most sites.
+// Defaults returns a Config that suits most sites.
 func Defaults() Config {
 	return Config{MostLost: 0.34, ConfirmAfter: 2 * time.Minute, Together: 4, Step: 500 * time.Millisecond, OwnPace: 16,
 		FlapWindow: time.Minute, FlapLimit: 3, FlapHold: 5 * time.Second}
 }
 
-// Member is a node in force. The instance grows when the same node must count as another one: a drain binds
-// the old one for good, so that calling it off makes a new one.
+// Member is a node in force. Instance increases when the same name has to be treated as a new node: a node that was
+// told to drain stays drained, so that calling the drain off creates a new instance.
 type Member struct {
 	inventory.Node
 	Instance int
 }
 
-// Held is something that the list says and that is not in force.
+// Held is a change made by a list that is not in force yet.
 type Held struct {
 	Node   string
 	Slice  string
 	Why    string
-	Until  time.Duration // when it will be, 0 if it waits for a confirmation alone
-	Lacked bool          // the list lacks the node; else it is yet to come in
+	Until  time.Duration // time at which it comes into force, on the caller's clock; 0 if it waits for a confirmation, a list or a resolver
+	Lacked bool          // the node is missing from the list and stays in force; false if it is listed and not in force yet
 }
 
-// Change is what a call led to.
+// Change is the state after a call.
 type Change struct {
-	Members []Member // all in force, those that are gone included as long as the list has them, sorted
-	Changed bool     // they differ from before
+	Members []Member // all members in force, sorted by slice and name; listed nodes of state gone are included
+	Changed bool     // Members differs from the previous call
 	Held    []Held
-	Shared  []Shared // nodes in force whose names stand for one address
+	Shared  []Shared // nodes in force whose names resolve to one address, sorted by name
 }
 
-// Shared is a node in force at the address of another.
+// Shared names a node in force and another at the same address.
 type Shared struct{ Node, With string }
 
-// member is what is kept of a node.
+// member is the state kept for a node name.
 type member struct {
-	node     inventory.Node
-	instance int
-	in       bool          // it is in force
-	due      time.Duration // when it comes in
-	lacked   bool          // the list lacks it and that is doubted
-	gone     bool          // it has left; kept for its instance and its flaps
-	twin     *member       // another name at its address, nil for none
-	bound    bool          // it counts as draining since its twin drains
-	back     []time.Duration
-	holds    int
+	node           inventory.Node
+	instance       int
+	active         bool
+	due            time.Duration // time at which it comes into force
+	removalHeld    bool          // missing from the list, and its removal waits for a confirmation
+	removed        bool          // removed; kept for its instance and its flap history
+	duplicate      *member       // another node at the same address, or nil
+	inheritedDrain bool          // counts as draining because its duplicate drains
+	returns        []time.Duration
+	holdCount      int
 }
 
-// Module is the membership of one driver. It is not safe for concurrent use.
+// Module is the membership of one driver. Times are on the caller's clock. It is not safe for concurrent use.
 type Module struct {
 	cfg       Config
 	rng       *rand.Rand
 	members   map[string]*member
-	set       *inventory.Set // the newest list
-	since     time.Duration  // when it came
+	set       *inventory.Set // newest list
+	setAt     time.Duration  // when List received it
 	confirmed bool
-	begun     bool
+	started   bool
 	last      []Member
-	resolved  map[string][]string // by node, the addresses that its name stands for
+	resolved  map[string][]string // resolved addresses, by node
 }
 
-// New makes a module that knows no node. The seed settles when new nodes come in; drivers must not share one.
+// New returns the membership of a driver that knows no node yet. The seed determines the delays of new members; drivers must not share a seed,
+// or they all connect to a new node at once.
 func New(cfg Config, seed uint64) *Module {
 	return &Module{cfg: cfg, rng: rand.New(rand.NewPCG(seed, 0x6d656d62)), members: map[string]*member{}}
 }
 
-// List takes a valid list.
+// List applies a list that has passed validation.
 func (m *Module) List(now time.Duration, set *inventory.Set) Change {
-	m.set, m.since, m.confirmed = set, now, false
-	return m.settle(now)
+	m.set, m.setAt, m.confirmed = set, now, false
+	return m.apply(now)
 }
 
-// Confirm takes what the newest list lacks as meant.
+// Confirm confirms the newest list: the nodes that are missing from it are removed.
 func (m *Module) Confirm(now time.Duration) Change {
 	m.confirmed = true
-	return m.settle(now)
+	return m.apply(now)
 }
 
-// Tick looks at what has come due.
-func (m *Module) Tick(now time.Duration) Change { return m.settle(now) }
+// Tick applies the changes whose time has come.
+func (m *Module) Tick(now time.Duration) Change { return m.apply(now) }
 
-// Wake is when Tick wants to be called, false for never.
+// Wake returns the time at which Tick has to be called next. It returns false if only a list, a confirmation
+// or a resolver can change anything.
 func (m *Module) Wake() (at time.Duration, ok bool) {
-	soonest := func(t time.Duration) {
+	candidate := func(t time.Duration) {
 		if !ok || t < at {
 			at, ok = t, true
 		}
 	}
 	for _, k := range m.members {
-		if !k.in && !k.gone && (k.twin == nil || !k.twin.in && k.node.Name < k.twin.node.Name) {
-			soonest(k.due)
+		if !k.active && !k.removed && (k.duplicate == nil || !k.duplicate.active && k.node.Name < k.duplicate.node.Name) {
+			candidate(k.due)
 		}
-		if k.lacked && !m.confirmed && m.cfg.ConfirmAfter > 0 {
-			soonest(m.since + m.cfg.ConfirmAfter)
+		if k.removalHeld && !m.confirmed && m.cfg.ConfirmAfter > 0 {
+			candidate(m.setAt + m.cfg.ConfirmAfter)
 		}
 	}
 	return at, ok
 }
 
-func (m *Module) settle(now time.Duration) Change {
+func (m *Module) apply(now time.Duration) Change {
 	if m.set == nil {
 		return Change{}
 	}
-	if m.cfg.ConfirmAfter > 0 && now-m.since >= m.cfg.ConfirmAfter {
+	if m.cfg.ConfirmAfter > 0 && now-m.setAt >= m.cfg.ConfirmAfter {
 		m.confirmed = true
 	}
 	listed := map[string]bool{}
-	var fresh []*member
+	var added []*member
 	for i := range m.set.Nodes {
 		n := &m.set.Nodes[i]
 		listed[n.Name] = true
-		if k := m.take(now, n); k != nil {
-			fresh = append(fresh, k)
+		if k := m.update(now, n); k != nil {
+			added = append(added, k)
 		}
 	}
-	m.admit(now, fresh)
-	m.lack(listed)
-	m.share()
+	m.schedule(now, added)
+	m.handleMissing(listed)
+	m.findShared()
 	for _, k := range m.members {
-		if !k.in && !k.gone && now >= k.due && (k.twin == nil || !k.twin.in && k.node.Name < k.twin.node.Name) {
-			k.in = true
+		if !k.active && !k.removed && now >= k.due && (k.duplicate == nil || !k.duplicate.active && k.node.Name < k.duplicate.node.Name) {
+			k.active = true
 		}
 	}
-	m.begun = true
-	return m.change()
+	m.started = true
+	return m.result()
 }
 
-// take brings what is known of a node up to the list, and returns it if it is new or new again.
-func (m *Module) take(now time.Duration, n *inventory.Node) *member {
+// update applies a listed node and returns its member if the node is new, has moved or has returned to ready, and so
+// has to wait for its delay.
+func (m *Module) update(now time.Duration, n *inventory.Node) *member {
 	k := m.members[n.Name]
 	if k == nil {
 		k = &member{node: *n}
@@ -170,49 +173,51 @@
 		return k
 	}
 	old := k.node
-	k.node, k.lacked = *n, false
+	k.node, k.removalHeld = *n, false
 	moved := old.Address() != n.Address() || old.Slice != n.Slice
-	again := k.gone || old.State != inventory.Ready && n.State == inventory.Ready
-	if !moved && !again {
+	returned := k.removed || old.State != inventory.Ready && n.State == inventory.Ready
+	if !moved && !returned {
 		return nil
 	}
 	k.instance++
-	k.gone, k.in = false, false
-	if again && !moved {
-		k.back = slices.DeleteFunc(append(k.back, now), func(t time.Duration) bool { return now-t > m.cfg.FlapWindow })
+	k.removed, k.active = false, false
+	if returned && !moved {
+		k.returns = slices.DeleteFunc(append(k.returns, now), func(t time.Duration) bool { return now-t > m.cfg.FlapWindow })
 	}
 	return k
 }
 
-// admit settles when new members come in. The first list of a driver comes in at once: it must serve.
-func (m *Module) admit(now time.Duration, fresh []*member) {
-	if !m.begun {
-		for _, k := range fresh {
+// schedule sets when new members come into force. The members of a driver's first list do so at once, since a driver
+// that starts must serve.
+func (m *Module) schedule(now time.Duration, added []*member) {
+	if !m.started {
+		for _, k := range added {
 			k.due = now
 		}
 		return
 	}
-	steps := max(float64(m.cfg.Drivers)/float64(max(m.cfg.Together, 1)), float64(len(fresh))/float64(max(m.cfg.OwnPace, 1)))
+	steps := max(float64(m.cfg.Drivers)/float64(max(m.cfg.Together, 1)), float64(len(added))/float64(max(m.cfg.OwnPace, 1)))
 	window := time.Duration(0)
 	if steps > 1 {
 		window = time.Duration(steps * float64(m.cfg.Step))
 	}
-	for _, k := range fresh {
+	for _, k := range added {
 		k.due = now + time.Duration(m.rng.Float64()*float64(window))
-		if len(k.back) <= m.cfg.FlapLimit {
-			k.holds = 0
+		if len(k.returns) <= m.cfg.FlapLimit {
+			k.holdCount = 0
 			continue
 		}
-		k.due = max(k.due, now+m.cfg.FlapHold<<min(k.holds, 6))
-		k.holds++
+		k.due = max(k.due, now+m.cfg.FlapHold<<min(k.holdCount, 6))
+		k.holdCount++
 	}
 }
 
-// lack settles what becomes of those that the list lacks.
-func (m *Module) lack(listed map[string]bool) {
+// handleMissing removes the nodes that the list no longer has, or keeps them in force if too many of a slice, or its
+// last ready member, are missing: a truncated list would otherwise take a slice out of service.
+func (m *Module) handleMissing(listed map[string]bool) {
 	present, ready, missing := map[string]int{}, map[string]int{}, map[string][]*member{}
 	for name, k := range m.members {
-		if k.gone {
+		if k.removed {
 			continue
 		}
 		s := k.node.Slice
@@ -230,41 +235,41 @@
 	for s, lost := range missing {
 		all := float64(present[s] + len(lost))
 		lostReady := slices.ContainsFunc(lost, func(k *member) bool { return k.node.State == inventory.Ready })
-		doubtful := float64(len(lost))/all > m.cfg.MostLost || lostReady && ready[s] == 0
+		implausible := float64(len(lost))/all > m.cfg.MostLost || lostReady && ready[s] == 0
 		for _, k := range lost {
-			k.lacked = doubtful && !m.confirmed
-			if !k.lacked {
-				k.gone, k.in = true, false
+			k.removalHeld = implausible && !m.confirmed
+			if !k.removalHeld {
+				k.removed, k.active = true, false
 			}
 		}
 	}
 }
 
-func (m *Module) change() Change {
+func (m *Module) result() Change {
 	var c Change
 	for name, k := range m.members {
 		switch {
-		case k.lacked:
-			h := Held{Node: name, Slice: k.node.Slice, Lacked: true, Why: "the list lacks too much of its slice to be believed at once"}
+		case k.removalHeld:
+			h := Held{Node: name, Slice: k.node.Slice, Lacked: true, Why: "its slice would lose too many members or its last ready one"}
 			if m.cfg.ConfirmAfter > 0 {
-				h.Until = m.since + m.cfg.ConfirmAfter
+				h.Until = m.setAt + m.cfg.ConfirmAfter
 			}
 			c.Held = append(c.Held, h)
-			if k.in {
-				c.Members = append(c.Members, k.inForce())
+			if k.active {
+				c.Members = append(c.Members, k.effective())
 			}
-		case k.gone:
-		case k.in:
-			c.Members = append(c.Members, k.inForce())
-			if k.twin != nil {
-				c.Shared = append(c.Shared, Shared{name, k.twin.node.Name})
+		case k.removed:
+		case k.active:
+			c.Members = append(c.Members, k.effective())
+			if k.duplicate != nil {
+				c.Shared = append(c.Shared, Shared{name, k.duplicate.node.Name})
 			}
-		case k.twin != nil:
-			c.Held = append(c.Held, Held{Node: name, Slice: k.node.Slice, Why: "its name stands for the address of " + k.twin.node.Name})
+		case k.duplicate != nil:
+			c.Held = append(c.Held, Held{Node: name, Slice: k.node.Slice, Why: "its name resolves to the address of " + k.duplicate.node.Name})
 		default:
-			why := "new, it comes in by and by"
-			if k.holds > 0 {
-				why = fmt.Sprintf("called back and forth %d times within %v", len(k.back), m.cfg.FlapWindow)
+			why := "new, waiting for its scheduled start"
+			if k.holdCount > 0 {
+				why = fmt.Sprintf("returned to ready %d times within %v", len(k.returns), m.cfg.FlapWindow)
 			}
 			c.Held = append(c.Held, Held{Node: name, Slice: k.node.Slice, Why: why, Until: k.due})
 		}
--- a/membership/membership_test.go
+++ b/membership/membership_test.go
@@ -18,7 +18,7 @@
 
 func set(nodes ...inventory.Node) *inventory.Set { return &inventory.Set{Nodes: nodes} }
 
-func six() []inventory.Node {
+func sixNodes() []inventory.Node {
 	var nodes []inventory.Node
 	for i := range 6 {
 		nodes = append(nodes, node(fmt.Sprintf("db%d", i), "news", inventory.Ready))
@@ -39,58 +39,59 @@
 
 const sec = time.Second
 
-func TestFirstListIsTakenAtOnce(t *testing.T) {
+func TestFirstListAppliesAtOnce(t *testing.T) {
 	m := New(Defaults(), 1)
-	if c := m.List(0, set(six()...)); len(names(c)) != 6 || !c.Changed || len(c.Held) != 0 {
+	if c := m.List(0, set(sixNodes()...)); len(names(c)) != 6 || !c.Changed || len(c.Held) != 0 {
 		t.Errorf("%+v", c)
 	}
 }
 
-// TestCutList: a file cut in the middle still parses as a shorter list; what it lacks stays until confirmed.
-func TestCutList(t *testing.T) {
+// TestTruncatedList: a truncated file still parses as a shorter list; the members that it lacks stay until confirmed.
+func TestTruncatedList(t *testing.T) {
 	m := New(Defaults(), 1)
-	m.List(0, set(six()...))
-	c := m.List(1*sec, set(six()[:2]...))
+	m.List(0, set(sixNodes()...))
+	c := m.List(1*sec, set(sixNodes()[:2]...))
 	if len(names(c)) != 6 || len(c.Held) != 4 || c.Changed {
 		t.Fatalf("%v, held %v", names(c), c.Held)
 	}
 	if c = m.Confirm(2 * sec); len(names(c)) != 2 || len(c.Held) != 0 || !c.Changed {
-		t.Errorf("after the confirmation: %v, held %v", names(c), c.Held)
+		t.Errorf("after the confirmation %v are ready, held %v", names(c), c.Held)
 	}
 }
 
-// TestCutListIsMadeWhole: nothing moved in between, so nothing moves.
-func TestCutListIsMadeWhole(t *testing.T) {
+// TestTruncatedListIsRepaired: a complete list after a truncated one changes nothing, as nothing was removed in
+// between.
+func TestTruncatedListIsRepaired(t *testing.T) {
 	m := New(Defaults(), 1)
-	m.List(0, set(six()...))
-	m.List(1*sec, set(six()[:2]...))
-	if c := m.List(2*sec, set(six()...)); len(names(c)) != 6 || c.Changed || len(c.Held) != 0 {
+	m.List(0, set(sixNodes()...))
+	m.List(1*sec, set(sixNodes()[:2]...))
+	if c := m.List(2*sec, set(sixNodes()...)); len(names(c)) != 6 || c.Changed || len(c.Held) != 0 {
 		t.Errorf("%+v", c)
 	}
 }
 
-func TestUnchangedListIsBelievedInTheEnd(t *testing.T) {
+func TestUnchangedListIsConfirmed(t *testing.T) {
 	m := New(Defaults(), 1)
-	m.List(0, set(six()...))
-	m.List(1*sec, set(six()[:2]...))
+	m.List(0, set(sixNodes()...))
+	m.List(1*sec, set(sixNodes()[:2]...))
 	at, ok := m.Wake()
 	if !ok || at != 1*sec+Defaults().ConfirmAfter {
-		t.Fatalf("wakes at %v, %v", at, ok)
+		t.Fatalf("next tick at %v, %v", at, ok)
 	}
 	if c := m.Tick(at); len(names(c)) != 2 {
 		t.Errorf("%v", names(c))
 	}
 }
 
-func TestOneMissingIsBelieved(t *testing.T) {
+func TestOneMissingIsRemoved(t *testing.T) {
 	m := New(Defaults(), 1)
-	m.List(0, set(six()...))
-	if c := m.List(1*sec, set(six()[1:]...)); has(c, "db0") || len(names(c)) != 5 {
+	m.List(0, set(sixNodes()...))
+	if c := m.List(1*sec, set(sixNodes()[1:]...)); has(c, "db0") || len(names(c)) != 5 {
 		t.Errorf("%v", names(c))
 	}
 }
 
-// TestLastReadyMember is never lost by a list that merely lacks it.
+// TestLastReadyMember: a list that lacks the last ready member of a slice does not remove it.
 func TestLastReadyMember(t *testing.T) {
 	m := New(Defaults(), 1)
 	nodes := []inventory.Node{node("a", "news", inventory.Ready), node("b", "news", inventory.Draining), node("c", "news", inventory.Draining),
@@ -101,45 +102,45 @@
 	}
 }
 
-// TestDrainsBindAtOnce, also those of a list that is doubted for what it lacks.
-func TestDrainsBindAtOnce(t *testing.T) {
+// TestDrainsApplyAtOnce: drains apply at once even on a list whose removals are held back.
+func TestDrainsApplyAtOnce(t *testing.T) {
 	m := New(Defaults(), 1)
-	m.List(0, set(six()...))
+	m.List(0, set(sixNodes()...))
 	c := m.List(1*sec, set(node("db0", "news", inventory.Draining), node("db1", "news", inventory.Gone)))
 	if has(c, "db0") || has(c, "db1") || !has(c, "db5") {
 		t.Errorf("%v", names(c))
 	}
 }
 
-// TestDrainCalledOff makes another instance: the old one stays bound.
+// TestDrainCalledOff: calling off a drain creates a new instance, as the old one stays drained.
 func TestDrainCalledOff(t *testing.T) {
 	m := New(Defaults(), 1)
-	m.List(0, set(six()...))
-	drained := six()
+	m.List(0, set(sixNodes()...))
+	drained := sixNodes()
 	drained[0].State = inventory.Draining
 	m.List(1*sec, set(drained...))
-	c := m.List(1200*time.Millisecond, set(six()...))
+	c := m.List(1200*time.Millisecond, set(sixNodes()...))
 	if !has(c, "db0") || c.Members[0].Instance != 1 {
 		t.Errorf("%+v", c.Members[0])
 	}
 }
 
-// TestFlapping: a node called back and forth waits longer each time, and its drains bind all the same.
+// TestFlapping: a flapping node is held back longer each time, while its drains still apply at once.
 func TestFlapping(t *testing.T) {
 	m := New(Defaults(), 1)
-	m.List(0, set(six()...))
+	m.List(0, set(sixNodes()...))
 	now, last := time.Duration(0), time.Duration(0)
 	for round := range 8 {
 		now += sec
-		drained := six()
+		drained := sixNodes()
 		drained[0].State = inventory.Draining
 		if c := m.List(now, set(drained...)); has(c, "db0") {
-			t.Fatalf("round %d: a drain did not bind", round)
+			t.Fatalf("round %d: the drain was not applied", round)
 		}
 		now += sec
-		c := m.List(now, set(six()...))
+		c := m.List(now, set(sixNodes()...))
 		if round < 3 && !has(c, "db0") {
-			t.Errorf("round %d: it had to wait", round)
+			t.Errorf("round %d: db0 was held back", round)
 		}
 		if round > 3 {
 			wait := time.Duration(0)
@@ -149,18 +150,18 @@
 				}
 			}
 			if wait <= last {
-				t.Errorf("round %d: waits %v after %v", round, wait, last)
+				t.Errorf("round %d: held back %v, before that %v", round, wait, last)
 			}
 			last = wait
 		}
 	}
 }
 
-// TestMoved: another address under one name is another node; the old one leaves at once.
+// TestMoved: a new address under the same name is a new instance, and the old one leaves at once.
 func TestMoved(t *testing.T) {
 	m := New(Defaults(), 1)
-	m.List(0, set(six()...))
-	moved := six()
+	m.List(0, set(sixNodes()...))
+	moved := sixNodes()
 	moved[2].Host = "10.0.0.9"
 	c := m.List(1*sec, set(moved...))
 	for _, k := range c.Members {
@@ -170,45 +171,46 @@
 	}
 }
 
-// TestManyNewcomersBeforeManyDrivers: however many come at once, no node meets all drivers together.
-func TestManyNewcomersBeforeManyDrivers(t *testing.T) {
-	const drivers, fresh = 50, 300
+// TestNewMembersAreSpread: however many members are added at once, at most a third of the drivers connect to a new
+// member within one step, so that it does not get connections from all drivers together.
+func TestNewMembersAreSpread(t *testing.T) {
+	const drivers, added = 50, 300
 	cfg := Defaults()
 	cfg.Drivers = drivers
-	list := six()
-	for i := range fresh {
+	list := sixNodes()
+	for i := range added {
 		list = append(list, node(fmt.Sprintf("new%03d", i), fmt.Sprintf("s%d", i/6), inventory.Ready))
 	}
-	met := map[string]map[int64]int{}
+	joined := map[string]map[int64]int{}
 	for d := range drivers {
 		m := New(cfg, uint64(d))
-		m.List(0, set(six()...))
+		m.List(0, set(sixNodes()...))
 		known := map[string]bool{}
-		take := func(now time.Duration, c Change) {
+		observe := func(now time.Duration, c Change) {
 			for _, k := range c.Members {
 				if !known[k.Name] {
 					known[k.Name] = true
-					if met[k.Name] == nil {
-						met[k.Name] = map[int64]int{}
+					if joined[k.Name] == nil {
+						joined[k.Name] = map[int64]int{}
 					}
-					met[k.Name][int64(now/cfg.Step)]++
+					joined[k.Name][int64(now/cfg.Step)]++
 				}
 			}
 		}
-		take(sec, m.List(sec, set(list...)))
+		observe(sec, m.List(sec, set(list...)))
 		for {
 			at, ok := m.Wake()
 			if !ok {
 				break
 			}
-			take(at, m.Tick(at))
+			observe(at, m.Tick(at))
 		}
-		if len(known) != fresh+6 {
-			t.Fatalf("driver %d knows %d", d, len(known))
+		if len(known) != added+6 {
+			t.Fatalf("driver %d knows %d members", d, len(known))
 		}
 	}
 	worst := 0
-	for name, steps := range met {
+	for name, steps := range joined {
 		if name[:3] == "new" {
 			for _, n := range steps {
 				worst = max(worst, n)
@@ -216,13 +218,12 @@
 		}
 	}
 	if worst > drivers/3 {
-		t.Errorf("%d of %d drivers came to one node within %v", worst, drivers, cfg.Step)
+		t.Errorf("%d of %d drivers added one node within %v", worst, drivers, cfg.Step)
 	}
-	t.Logf("at the most %d of %d drivers came to one node within %v", worst, drivers, cfg.Step)
+	t.Logf("at most %d of %d drivers added one node within %v", worst, drivers, cfg.Step)
 }
 
-// TestAnyHistory draws lists and times: drains bind at once, the last ready member is never lost unconfirmed,
-// and a list that stays is in force in the end.
+// TestAnyHistory draws lists and times: drains apply at once, and a list that stays unchanged is in force in the end.
 func TestAnyHistory(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		cfg := Defaults()
@@ -268,12 +269,12 @@
 			}
 		}
 		if got := names(c); len(c.Held) != 0 || !slices.Equal(got, want) {
-			t.Fatalf("in the end %v with %v held, the list says %v", got, c.Held, want)
+			t.Fatalf("finally %v are ready with %v held, the list has %v", got, c.Held, want)
 		}
 	})
 }
 
-func places(m map[string]string) map[string][]string {
+func addresses(m map[string]string) map[string][]string {
 	out := map[string][]string{}
 	for name, at := range m {
 		out[name] = []string{at}
@@ -281,28 +282,29 @@
 	return out
 }
 
-// TestTwoNamesAtOneAddress: a newcomer at the address of a node in force waits until it no longer is; two that are in
-// force already stay, are said, and a drain of either binds both. Called off, it makes another node of the other.
+// TestTwoNamesAtOneAddress: a new node at the address of a member in force is held back until the addresses differ. Two
+// members in force at one address both stay and are reported, and a drain of either drains both; when it is called off,
+// the other becomes a new instance.
 func TestTwoNamesAtOneAddress(t *testing.T) {
 	m := New(Defaults(), 1)
 	m.List(0, listOf("db1", "db2", "db3"))
-	m.Resolved(1, places(map[string]string{"db1": "a:1", "db2": "b:1", "db3": "c:1", "db4": "a:1"}))
+	m.Resolved(1, addresses(map[string]string{"db1": "a:1", "db2": "b:1", "db3": "c:1", "db4": "a:1"}))
 	c := m.List(time.Second, listOf("db1", "db2", "db3", "db4"))
 	if len(c.Members) != 3 || len(c.Held) != 1 || c.Held[0].Node != "db4" || !strings.Contains(c.Held[0].Why, "db1") {
 		t.Fatalf("%+v", c)
 	}
 	if _, ok := m.Wake(); ok {
-		t.Error("it wants to be woken for what only a list or a resolver can change")
+		t.Error("a tick is requested although only a list or a resolver can change anything")
 	}
-	if c = m.Resolved(2*time.Second, places(map[string]string{"db1": "a:1", "db4": "d:1"})); len(c.Members) != 4 {
+	if c = m.Resolved(2*time.Second, addresses(map[string]string{"db1": "a:1", "db4": "d:1"})); len(c.Members) != 4 {
 		c = m.Tick(time.Minute)
 	}
 	if len(c.Members) != 4 || len(c.Held) != 0 {
-		t.Fatalf("with an address of its own: %+v", c)
+		t.Fatalf("with different addresses: %+v", c)
 	}
-	c = m.Resolved(3*time.Minute, places(map[string]string{"db1": "a:1", "db4": "a:1"}))
+	c = m.Resolved(3*time.Minute, addresses(map[string]string{"db1": "a:1", "db4": "a:1"}))
 	if len(c.Members) != 4 || len(c.Shared) != 2 {
-		t.Fatalf("a resolver's word took a node away, or it is not said: %+v", c)
+		t.Fatalf("a resolved address removed a node, or the shared address is not reported: %+v", c)
 	}
 	state := func(c Change, name string) (inventory.State, int) {
 		for _, k := range c.Members {
@@ -317,22 +319,22 @@
 	drained.Nodes[0].State = inventory.Draining
 	c = m.List(4*time.Minute, drained)
 	if got, _ := state(c, "db4"); got != inventory.Draining {
-		t.Errorf("db1 drains, and db4 at its address is %s", got)
+		t.Errorf("db1 drains, but db4 at the same address is %s", got)
 	}
 	c = m.List(5*time.Minute, listOf("db1", "db2", "db3", "db4"))
 	if c = m.Tick(6 * time.Minute); len(c.Members) != 3 || len(c.Held) != 1 || c.Held[0].Node != "db1" {
-		t.Fatalf("db1 comes again, where db4 is by now: %+v", c)
+		t.Fatalf("db1 returned at the address of db4, but is not held back: %+v", c)
 	}
 	if got, now := state(c, "db4"); got != inventory.Ready || now == instance {
-		t.Errorf("after the drain was called off db4 is %s, instance %d as before %d", got, now, instance)
+		t.Errorf("after the drain was called off db4 is %s, instance %d, before it %d", got, now, instance)
 	}
 }
 
-// TestAllAtOneAddress: a resolver that tells one address for every name takes nobody away.
+// TestAllAtOneAddress: a resolver that returns one address for every name removes no member.
 func TestAllAtOneAddress(t *testing.T) {
 	m := New(Defaults(), 1)
 	m.List(0, listOf("db1", "db2", "db3"))
-	if c := m.Resolved(1, places(map[string]string{"db1": "a:1", "db2": "a:1", "db3": "a:1"})); len(c.Members) != 3 || c.Changed || len(c.Shared) != 3 {
+	if c := m.Resolved(1, addresses(map[string]string{"db1": "a:1", "db2": "a:1", "db3": "a:1"})); len(c.Members) != 3 || c.Changed || len(c.Shared) != 3 {
 		t.Errorf("%+v", c)
 	}
 }
