--- a/topology/bench_test.go
+++ b/topology/bench_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// BenchmarkHear: what each answer of a node costs, by members of the slice.
+// BenchmarkHear measures the cost of a node's report, by the number of members in the slice.
 func BenchmarkHear(b *testing.B) {
 	for _, members := range []int{3, 6, 60} {
 		b.Run(fmt.Sprint(members), func(b *testing.B) {
--- a/topology/topology.go
+++ b/topology/topology.go
@@ -1,11 +1,13 @@
-// Package topology tells who is the primary of a slice by what nodes say of themselves and of each other. It does no I/O
-// and reads no clock: claims go in, and what follows from all of them comes out.
+// Package topology decides which node is the primary of a slice. The claims that nodes make about their role and
+// timeline, and an operator's fences, go in; a verdict for the slice and the standing of each node come out. The
+// driver's engine calls it for each report of a node; the package does no I/O and reads no clock.
 //
-// A claim is what one node told, asked at a time on the driver's own clock. Claims are ordered by timeline and by when
-// they were asked for, never by when they arrived: any order and repetition of the same claims ends in the same term,
-// and the term never goes back. PostgreSQL's timelines are terms as of a consensus protocol, but nobody votes: whoever
-// promotes a replica begins one. The ledger therefore fences what a higher term left behind, and where two nodes claim
-// the same term it names one only if most of the slice follows it. docs/topology.md has the options considered.
+// A claim is one report of a node and the time, on the driver's clock, at which the report was requested. Claims are
+// ordered by timeline and by that time, never by arrival, so that a late answer cannot undo a promotion: any order and
+// repetition of the same claims ends in the same term, and the term never decreases. PostgreSQL's timelines serve as
+// the terms of a consensus protocol, but there is no vote: whoever promotes a replica starts a new one. The primary of
+// a lower term is therefore superseded, and of two nodes that claim the same term one is accepted only if most of the
+// slice follows it. docs/topology.md compares the alternatives.
 package topology
 
 import (
@@ -16,133 +18,133 @@
 	"time"
 )
 
-// Role is what a node said it is.
+// Role is the role that a node reports.
 type Role uint8
 
-// The roles.
+// Roles.
 const (
 	Replica Role = iota
 	Primary
 )
 
-// String is a word for operators.
+// String returns the word shown to operators.
 func (r Role) String() string { return [...]string{"replica", "primary"}[r] }
 
-// Channel is how a claim came.
+// Channel is the source of a claim.
 type Channel uint8
 
-// The channels.
+// Channels.
 const (
-	Poll     Channel = iota // the answer to a question for facts
-	Answer                  // facts with a request's answer
-	Refusal                 // it refused to write, as a replica does
-	Restored                // from what an earlier life of this driver knew
+	Poll     Channel = iota // reply to a poll
+	Answer                  // facts that came with the answer to a request
+	Refusal                 // the node refused a write, as a replica does
+	Restored                // state that an earlier process of this driver saved
 )
 
-// String is a word for operators.
+// String returns the word shown to operators.
 func (c Channel) String() string {
 	return [...]string{"poll", "answer", "refusal", "earlier life"}[c]
 }
 
-// Claim is what a node told of itself.
+// Claim is what a node reported about itself. Times are on the driver's clock.
 type Claim struct {
 	Node     string
 	Role     Role
 	Timeline uint32
-	LSN      uint64        // 0 if it told none
-	System   uint64        // the cluster's identifier, 0 if it never told one
-	Upstream string        // the node that a replica follows; "" if it follows none or did not tell
-	Sent     time.Duration // when it was asked, on the driver's clock
-	Heard    time.Duration // when its answer came
+	LSN      uint64        // byte position in the log; 0 if not reported
+	System   uint64        // system identifier of the cluster; 0 if never reported
+	Upstream string        // node that a replica follows; "" if none or not reported
+	Sent     time.Duration // time at which the report was requested
+	Heard    time.Duration // time at which the report was received
 	Channel  Channel
 }
 
-// Standing is what a node is to the slice.
+// Standing is the relation of a node to its slice.
 type Standing uint8
 
-// The standings.
+// Standings.
 const (
-	Unheard    Standing = iota
-	Follower            // a replica
-	Office              // the primary
-	Superseded          // it takes itself for the primary of a term that was left
-	Rival               // it takes itself for the primary of the present term, and so does another
-	Foreign             // it is of another cluster
-	Fenced              // an operator said that it must not be primary
+	Unheard    Standing = iota // no claim was received yet
+	Follower                   // a replica of the slice
+	Office                     // the primary of the slice
+	Superseded                 // claims to be primary of a lower term
+	Rival                      // claims to be primary of the current term, as does another node
+	Foreign                    // belongs to another cluster
+	Fenced                     // claims to be primary, and an operator has fenced it
 )
 
-// String is a word for operators.
+// String returns the word shown to operators.
 func (s Standing) String() string {
 	return [...]string{"not heard", "replica", "primary", "superseded", "rival", "of another cluster", "fenced"}[s]
 }
 
-// Takes tells whether a node of this standing may get requests at all.
+// Takes reports whether requests may be sent to a node of this standing.
 func (s Standing) Takes() bool { return s != Superseded && s != Foreign && s != Rival && s != Fenced }
 
-// member is what is kept of a node: of each of its claims only what the verdict needs.
+// member is the state kept for a node: only the claims that the verdict depends on.
 type member struct {
 	name   string
-	latest Claim // by when it was asked
-	first  Claim // of its claims to be primary of its latest term, the one asked for first
-	last   Claim // likewise the last
-	claims bool  // it claims to be primary, latest
+	latest Claim // the claim with the highest Sent
+	first  Claim // the earliest by Sent among its claims to be primary of its latest term
+	last   Claim // the last by Sent among the same claims
+	claims bool  // its latest claim has the role of primary
 	fenced bool
 }
 
-// Slice is the ledger of one slice.
+// Slice holds the claims about one slice and derives its verdict from them. It is not safe for concurrent use.
 type Slice struct {
-	Name    string
-	members map[string]*member
-	terms   map[uint64]uint32        // by cluster, the highest timeline that was ever seen
-	since   map[uint64]time.Duration // by cluster, when the first claim of it was asked for
-	ends    map[uint32]end           // by timeline, the last place heard of its primary
-	verdict Verdict
-	several bool // claim the present term
-	history []Record
-	records uint64
-}
-
-// end is how far a timeline's primary was heard.
+	Name      string
+	members   map[string]*member
+	terms     map[uint64]uint32        // highest timeline ever reported, by cluster; 0 stands for an unreported one
+	since     map[uint64]time.Duration // earliest Sent of the claims, by cluster
+	ends      map[uint32]end           // highest log position reported by a primary, by timeline
+	verdict   Verdict
+	contested bool // more than one node claims the current term
+	history   []Record
+	records   uint64
+}
+
+// end is the highest log position that a primary reported on a timeline.
 type end struct {
 	lsn  uint64
 	node string
 }
 
-// Verdict is what follows from all claims.
+// Verdict is the conclusion from all claims.
 type Verdict struct {
-	System  uint64   // the slice's cluster; 0 while nobody told one
-	Term    uint32   // its timeline
-	Primary string   // "" while nobody holds office
-	Why     string   // by what evidence
-	Rivals  []string // who claims the present term, if more than one does
+	System  uint64   // system identifier of the slice's cluster; 0 until a node reports one
+	Term    uint32   // current timeline of the cluster
+	Primary string   // "" while no node is accepted as primary
+	Why     string   // the evidence, for operators
+	Rivals  []string // the nodes that claim the current term, if more than one
 }
 
-// Record is a change of the verdict, for operators.
+// Record is an entry of the history: a change of the verdict, an action of an operator or a loss.
 type Record struct {
 	Number uint64
-	At     time.Duration // when the claim that brought it was heard
+	At     time.Duration // time at which its cause was received
 	What   string
 	Claim  Claim
 }
 
-// mostRecords is how many changes of a slice are kept.
-const mostRecords = 200
+// maxRecords is the number of records kept per slice; older ones are dropped.
+const maxRecords = 200
 
-// NewSlice begins a ledger.
+// NewSlice returns a Slice without claims.
 func NewSlice(name string) *Slice {
 	return &Slice{Name: name, members: map[string]*member{}, terms: map[uint64]uint32{}, since: map[uint64]time.Duration{}, ends: map[uint32]end{}}
 }
 
-// Verdict is what follows from what was heard so far.
+// Verdict returns the conclusion from the claims so far.
 func (s *Slice) Verdict() Verdict { return s.verdict }
 
-// History is the newest changes, the oldest first.
+// History returns a copy of the newest records, at most 200, oldest first.
 func (s *Slice) History() []Record { return slices.Clone(s.history) }
 
-// Hear takes a claim and tells whether the verdict changed by it.
+// Hear adds a claim and reports whether the verdict changed. A claim without a timeline is ignored.
 func (s *Slice) Hear(c Claim) bool {
 	if c.Timeline == 0 {
-		return false // it stands nowhere yet
+		return false // the node is not on a timeline yet
 	}
 	if c.Timeline > s.terms[c.System] {
 		s.terms[c.System] = c.Timeline
@@ -151,23 +153,24 @@
 		s.since[c.System] = c.Sent
 	}
 	m := s.member(c.Node)
-	if m.latest.again(&c) && !s.several && m.latest.Timeline <= s.verdict.Term {
-		m.hear(c) // it says what it said, later: nothing follows from that while no two claim the term
-		s.heard(&c)
+	if m.latest.repeats(&c) && !s.contested && m.latest.Timeline <= s.verdict.Term {
+		m.add(c) // a repeated claim changes the verdict only while several nodes claim the term
+		s.recordEnd(&c)
 		return false
 	}
-	m.hear(c)
-	s.heard(&c)
-	return s.settle(c)
+	m.add(c)
+	s.recordEnd(&c)
+	return s.update(c)
 }
 
-// again tells whether a later claim says the same but for places in the log.
-func (c *Claim) again(o *Claim) bool {
+// repeats reports whether a later claim differs at most in its log position.
+func (c *Claim) repeats(o *Claim) bool {
 	return o.Sent >= c.Sent && o.Role == c.Role && o.Timeline == c.Timeline && o.System == c.System && o.Upstream == c.Upstream
 }
 
-// heard notes how far a primary was heard.
-func (s *Slice) heard(c *Claim) {
+// recordEnd raises the highest log position of a timeline. Equal positions are attributed to the node with the lower
+// name, so that the result does not depend on the order of claims.
+func (s *Slice) recordEnd(c *Claim) {
 	if e := s.ends[c.Timeline]; c.Role == Primary && (c.LSN > e.lsn || c.LSN == e.lsn && c.Node < e.node) {
 		s.ends[c.Timeline] = end{c.LSN, c.Node}
 	}
@@ -182,35 +185,35 @@
 	return m
 }
 
-// later orders claims of one node.
-func later(a, b *Claim) int {
+// compareClaims orders the claims of one node by Sent. The other fields break ties, so that the order is total.
+func compareClaims(a, b *Claim) int {
 	return cmp.Or(cmp.Compare(a.Sent, b.Sent), cmp.Compare(a.Timeline, b.Timeline), cmp.Compare(a.Role, b.Role), cmp.Compare(a.LSN, b.LSN), cmp.Compare(a.System, b.System),
 		cmp.Compare(a.Upstream, b.Upstream), cmp.Compare(a.Heard, b.Heard), cmp.Compare(a.Channel, b.Channel))
 }
 
-// hear joins a claim to what is kept.
-func (m *member) hear(c Claim) {
+// add merges a claim into the claims that are kept. The result does not depend on the order of calls.
+func (m *member) add(c Claim) {
 	if c.Role == Primary {
 		switch {
 		case c.Timeline > m.first.Timeline:
 			m.first, m.last = c, c
 		case c.Timeline == m.first.Timeline:
-			if later(&c, &m.first) < 0 {
+			if compareClaims(&c, &m.first) < 0 {
 				m.first = c
 			}
-			if later(&c, &m.last) > 0 {
+			if compareClaims(&c, &m.last) > 0 {
 				m.last = c
 			}
 		}
 	}
-	if later(&c, &m.latest) > 0 {
+	if compareClaims(&c, &m.latest) > 0 {
 		m.latest = c
 	}
 	m.claims = m.latest.Role == Primary
 }
 
-// settle derives the verdict anew, and takes down what changed.
-func (s *Slice) settle(c Claim) bool {
+// update derives the verdict again and records a change.
+func (s *Slice) update(c Claim) bool {
 	was := s.verdict
 	s.verdict = s.derive()
 	now := s.verdict
@@ -219,17 +222,17 @@
 	}
 	switch {
 	case now.System != was.System && was.System != 0:
-		s.note(c, "the slice's cluster is another one")
+		s.record(c, "the slice now belongs to another cluster")
 	case now.Term > was.Term && now.Primary == "":
-		s.note(c, "a newer term was seen, its primary was not heard yet")
+		s.record(c, "a newer term was reported, its primary has not reported yet")
 	case len(now.Rivals) > 0 && now.Primary == "":
-		s.note(c, "more than one node claims this term, and most of the slice follows none of them: nothing is written")
+		s.record(c, "more than one node claims this term and none is followed by most of the slice: writes are refused")
 	case now.Primary != "" && now.Primary != was.Primary:
-		s.note(c, now.Primary+" is primary: "+now.Why)
+		s.record(c, now.Primary+" is primary: "+now.Why)
 	case now.Primary == "" && was.Primary != "":
-		s.note(c, was.Primary+" is primary no more")
+		s.record(c, was.Primary+" is no longer primary")
 	default:
-		s.note(c, "the evidence changed: "+now.Why)
+		s.record(c, "the evidence changed: "+now.Why)
 	}
 	return true
 }
@@ -238,15 +241,15 @@
 	return v.System == w.System && v.Term == w.Term && v.Primary == w.Primary && slices.Equal(v.Rivals, w.Rivals)
 }
 
-func (s *Slice) note(c Claim, what string) {
+func (s *Slice) record(c Claim, what string) {
 	s.records++
 	s.history = append(s.history, Record{s.records, c.Heard, what, c})
-	if len(s.history) > mostRecords {
-		s.history = slices.Delete(s.history, 0, len(s.history)-mostRecords)
+	if len(s.history) > maxRecords {
+		s.history = slices.Delete(s.history, 0, len(s.history)-maxRecords)
 	}
 }
 
-// derive is the verdict as a function of what is kept.
+// derive computes the verdict from the claims that are kept.
 func (s *Slice) derive() Verdict {
 	v := Verdict{System: s.system()}
 	v.Term = max(s.terms[v.System], s.terms[0])
@@ -256,35 +259,36 @@
 			claimants = append(claimants, m)
 		}
 	}
-	s.several = len(claimants) > 1
-	claimants = incumbents(claimants)
+	s.contested = len(claimants) > 1
+	claimants = liveClaimants(claimants)
 	switch len(claimants) {
 	case 0:
-		v.Why = "nobody claims term " + itoa(v.Term)
+		v.Why = "no node claims term " + decimal(v.Term)
 	case 1:
-		v.Primary, v.Why = claimants[0].name, "it alone claims term "+itoa(v.Term)
+		v.Primary, v.Why = claimants[0].name, "it is the only node that claims term "+decimal(v.Term)
 	default:
 		for _, m := range claimants {
 			v.Rivals = append(v.Rivals, m.name)
 		}
-		v.Primary, v.Why = s.followed(v, claimants)
+		v.Primary, v.Why = s.mostFollowed(v, claimants)
 	}
 	return v
 }
 
-// silence is how long a claimant must say nothing, while another claims the same term, to count as gone.
+// silence is the time after which a claimant counts as removed if another one went on claiming the same term.
 const silence = 10 * time.Second
 
-// incumbents leaves out who was silent while another went on claiming the same term: a primary that came back elsewhere
-// without a promotion.
-func incumbents(claimants []*member) []*member {
+// liveClaimants drops each claimant that fell silent while another went on claiming the term: a primary that was moved
+// to another address without a promotion leaves its old name behind with the same term.
+func liveClaimants(claimants []*member) []*member {
 	return slices.DeleteFunc(slices.Clone(claimants), func(m *member) bool {
 		return slices.ContainsFunc(claimants, func(o *member) bool { return o != m && o.last.Sent-m.last.Sent > silence })
 	})
 }
 
-// followed names the one of several claimants that most of the slice's other nodes follow.
-func (s *Slice) followed(v Verdict, claimants []*member) (primary, why string) {
+// mostFollowed returns the claimant that more than half of the slice's other nodes follow, or "". Without such a
+// majority a write might go to the wrong side of a split.
+func (s *Slice) mostFollowed(v Verdict, claimants []*member) (primary, why string) {
 	votes, voters := map[string]int{}, 0
 	for _, m := range s.members {
 		if m.claims || m.foreign(v.System) {
@@ -297,14 +301,15 @@
 	}
 	for _, m := range claimants {
 		if 2*votes[m.name] > voters {
-			return m.name, "most of the slice follows it, though another claims the term too"
+			return m.name, "most of the slice follows it, although another node claims the term too"
 		}
 	}
-	return "", "several claim term " + itoa(v.Term) + " and none is followed by most"
+	return "", "several nodes claim term " + decimal(v.Term) + " and none is followed by most of the slice"
 }
 
-// system is the cluster that most nodes are of; of several with as many, the one that was heard first, then the one
-// with the lower number. While no node told one it is that of an earlier life.
+// system returns the cluster that most nodes belong to, so that a few nodes of another cluster can't take over the
+// slice. Ties go to the cluster reported first, then to the lower identifier. Until a node reports one it is the
+// cluster of the restored state.
 func (s *Slice) system() uint64 {
 	counts := map[uint64]int{}
 	for _, m := range s.members {
@@ -328,7 +333,7 @@
 	return m.latest.System != 0 && system != 0 && m.latest.System != system
 }
 
-// Standing is what a node is to the slice by what it told last.
+// Standing returns the relation of a node to the slice by its latest claim.
 func (s *Slice) Standing(node string) Standing {
 	m := s.members[node]
 	switch {
@@ -348,7 +353,7 @@
 	return Rival
 }
 
-// Fence has a node never be primary, whatever it claims, or lifts that.
+// Fence keeps a node from being accepted as primary, whatever it claims, or, with on false, lifts the fence.
 func (s *Slice) Fence(node string, on bool, now time.Duration) {
 	m := s.member(node)
 	if m.fenced == on {
@@ -356,47 +361,49 @@
 	}
 	m.fenced = on
 	c := Claim{Node: node, Heard: now, Sent: now}
-	s.note(c, map[bool]string{true: "an operator fenced " + node, false: "an operator lifted the fence of " + node}[on])
-	s.settle(c)
+	s.record(c, map[bool]string{true: "an operator fenced " + node, false: "an operator lifted the fence of " + node}[on])
+	s.update(c)
 }
 
-// Forget drops everything, terms of earlier lives among it: after a slice was restored from a backup by hand.
+// Forget drops all claims, fences and terms, those of the restored state too, after a slice was restored from a backup
+// by hand. The history stays.
 func (s *Slice) Forget(now time.Duration) {
 	c := Claim{Heard: now, Sent: now}
 	s.members, s.terms, s.since, s.ends = map[string]*member{}, map[uint64]uint32{}, map[uint64]time.Duration{}, map[uint32]end{}
-	s.note(c, "an operator had everything forgotten")
-	s.settle(c)
+	s.record(c, "an operator cleared all claims, terms and fences of the slice")
+	s.update(c)
 }
 
-// Leave drops a node that the list lacks for good. What it told of terms stays.
+// Leave removes a node that was removed from the inventory. The terms that it reported stay.
 func (s *Slice) Leave(node string, now time.Duration) {
 	if s.members[node] != nil {
 		delete(s.members, node)
-		s.settle(Claim{Node: node, Heard: now, Sent: now})
+		s.update(Claim{Node: node, Heard: now, Sent: now})
 	}
 }
 
-// Lost is what is known to be lost of an older timeline: its primary was heard beyond the place at which the present
-// one began. Positions are bytes of the log.
+// Lost is a range of the log of an older timeline that is not part of the timeline that followed, since the primary of
+// the older one reported positions beyond the fork. Positions are in bytes.
 type Lost struct {
 	Timeline uint32
-	From, To uint64 // above From, up to To
-	Node     string // that had it
+	From, To uint64 // excluding From, including To
+	Node     string // the primary that reported To
 }
 
-// Lose takes down what a promotion left out.
+// Lose records a loss in the history.
 func (s *Slice) Lose(l Lost, now time.Duration) {
-	s.note(Claim{Node: l.Node, Role: Primary, Timeline: l.Timeline, LSN: l.To, Heard: now, Sent: now}, fmt.Sprintf("commits of timeline %d beyond %X/%X, up to %X/%X, were heard at %s and are not part of the timeline that followed",
+	s.record(Claim{Node: l.Node, Role: Primary, Timeline: l.Timeline, LSN: l.To, Heard: now, Sent: now}, fmt.Sprintf("commits of timeline %d beyond %X/%X, up to %X/%X, were heard at %s and are not part of the timeline that followed",
 		l.Timeline, l.From>>32, uint32(l.From), l.To>>32, uint32(l.To), l.Node))
 }
 
-// Beyond is what of a timeline lies beyond the place at which a later one left it.
+// Beyond returns the part of a timeline beyond a fork, a byte position, and whether a primary reported any such
+// position.
 func (s *Slice) Beyond(timeline uint32, fork uint64) (Lost, bool) {
 	e := s.ends[timeline]
 	return Lost{timeline, fork, e.lsn, e.node}, e.lsn > fork
 }
 
-// Entry is a node of the ledger, for operators.
+// Entry describes a known node, for operators.
 type Entry struct {
 	Node     string
 	Standing Standing
@@ -404,7 +411,7 @@
 	Fenced   bool
 }
 
-// Entries are all nodes that were heard, by name.
+// Entries returns all known nodes, sorted by name.
 func (s *Slice) Entries() (all []Entry) {
 	for _, name := range slices.Sorted(maps.Keys(s.members)) {
 		m := s.members[name]
--- a/topology/topology_test.go
+++ b/topology/topology_test.go
@@ -13,19 +13,19 @@
 	"pgregory.net/rapid"
 )
 
-// TestData plays the claims of testdata/*.txt and compares what follows from them: a line "claim …" or "fence …" takes
-// something in, "is …" states the verdict, "node …" a node's standing.
+// TestData replays the claims of testdata/*.txt and checks the verdicts. A line "claim ..." or "fence ..." is input,
+// "is ..." states the expected verdict and "node ..." the expected standing of a node.
 func TestData(t *testing.T) {
 	files, err := filepath.Glob("testdata/*.txt")
 	if err != nil || len(files) < 8 {
 		t.Fatal(files, err)
 	}
 	for _, path := range files {
-		t.Run(strings.TrimSuffix(filepath.Base(path), ".txt"), func(t *testing.T) { play(t, path) })
+		t.Run(strings.TrimSuffix(filepath.Base(path), ".txt"), func(t *testing.T) { replay(t, path) })
 	}
 }
 
-func play(t *testing.T, path string) {
+func replay(t *testing.T, path string) {
 	f, err := os.Open(path)
 	if err != nil {
 		t.Fatal(err)
@@ -47,7 +47,7 @@
 			s.Fence(rest[0], words[0] == "fence", now)
 		case "forget":
 			s.Forget(now)
-		case "restart": // only what outlives a driver is left
+		case "restart": // only the saved state is left
 			st := s.State()
 			s = NewSlice("s")
 			s.Restore(st)
@@ -64,15 +64,15 @@
 				t.Errorf("%s: %s is %s, want %s", where, rest[0], got, want)
 			}
 		default:
-			t.Fatalf("%s: %q is no line", where, words[0])
+			t.Fatalf("%s: unknown line %q", where, words[0])
 		}
 	}
 	if checks == 0 {
-		t.Errorf("%s states nothing", path)
+		t.Errorf("%s checks nothing", path)
 	}
 }
 
-// claimOf reads NODE ROLE TIMELINE:LSN @SENT [system N] [follows NODE]; times are in milliseconds.
+// claimOf parses NODE ROLE TIMELINE:LSN @SENT [system N] [follows NODE]; times are in milliseconds.
 func claimOf(t *testing.T, where string, words []string) Claim {
 	t.Helper()
 	c := Claim{Node: words[0], Role: map[string]Role{"primary": Primary, "replica": Replica}[words[1]], System: 7}
@@ -105,7 +105,7 @@
 	}), 0, 30).Draw(t, "claims")
 }
 
-// TestAnyOrder: any order and repetition of the same claims ends in the same verdict and standings.
+// TestAnyOrder: any order and repetition of the same claims ends in the same verdict, standings and ends of timelines.
 func TestAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		claims := drawClaims(t)
@@ -129,9 +129,9 @@
 	})
 }
 
-// TestNeverBack: within a cluster the term never falls, whoever holds office claims it, nobody of another cluster or
-// fenced does, and a restart on what outlives it names nobody.
-func TestNeverBack(t *testing.T) {
+// TestTermNeverDecreases: within a cluster the term never decreases; the primary claims the term, belongs to the
+// cluster and is not fenced; and a state restored after a restart keeps the term and names no primary.
+func TestTermNeverDecreases(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := NewSlice("s")
 		was := map[uint64]uint32{}
@@ -148,11 +148,11 @@
 			if p := v.Primary; p != "" {
 				m := s.members[p]
 				if !m.claims || m.latest.Timeline != v.Term || m.fenced || m.foreign(v.System) || s.Standing(p) != Office {
-					t.Fatalf("%s holds office: %+v", p, m)
+					t.Fatalf("%s is accepted as primary: %+v", p, m)
 				}
 			}
 			if slices.Contains(v.Rivals, "") {
-				t.Fatal("nobody is a rival")
+				t.Fatal("a rival has no name")
 			}
 		}
 		st := State{Slices: []SliceState{s.State()}}
@@ -172,7 +172,7 @@
 	})
 }
 
-// TestDamagedState: nothing of a state that is cut or changed is used.
+// TestDamagedState: a state that is truncated or has a changed byte is refused.
 func TestDamagedState(t *testing.T) {
 	st := State{Slices: []SliceState{{Name: "s", Terms: map[uint64]uint32{7: 3}, Fenced: []string{"a"}}}}
 	text, err := st.Encode()
@@ -181,30 +181,30 @@
 	}
 	for i := range text {
 		if _, err := Decode(text[:i]); err == nil {
-			t.Errorf("the first %d bytes were taken", i)
+			t.Errorf("the first %d bytes were accepted", i)
 		}
 		changed := slices.Clone(text)
 		changed[i] ^= 0x20
 		if _, err := Decode(changed); err == nil {
-			t.Errorf("byte %d was changed, and it was taken", i)
+			t.Errorf("the state with byte %d changed was accepted", i)
 		}
 	}
 }
 
-// TestHistory: each change stands in it with the claim that brought it, and it is bounded.
+// TestHistory: each change is recorded with the claim that caused it, and the number of records is bounded.
 func TestHistory(t *testing.T) {
 	s := NewSlice("s")
-	for i := range uint32(2 * mostRecords) {
+	for i := range uint32(2 * maxRecords) {
 		s.Hear(Claim{Node: "a", Role: Primary, Timeline: i + 1, LSN: 5, Sent: time.Duration(i) * time.Second, Heard: time.Duration(i) * time.Second})
 	}
 	h := s.History()
-	if len(h) != mostRecords || h[len(h)-1].Number != 2*mostRecords || h[len(h)-1].Claim.Timeline != 2*mostRecords {
+	if len(h) != maxRecords || h[len(h)-1].Number != 2*maxRecords || h[len(h)-1].Claim.Timeline != 2*maxRecords {
 		t.Errorf("%d records, last %+v", len(h), h[len(h)-1])
 	}
 	if l, ok := s.Beyond(3, 4); !ok || l.To != 5 || l.Node != "a" {
 		t.Errorf("%+v %v", l, ok)
 	}
 	if _, ok := s.Beyond(3, 5); ok {
-		t.Error("something is lost beyond the last place heard")
+		t.Error("a loss is reported beyond the last reported position")
 	}
 }
