--- a/position/position.go
+++ b/position/position.go
@@ -1,15 +1,17 @@
-// Package position turns places in a db node's log into times that package balance can compare, without
-// trusting anybody's clock but the driver's own.
+// Package position compares log positions and bounds the times at which they were reached. Positions that nodes report,
+// with the times at which they were requested and received, go in; bounds on the driver's own clock come out, so that
+// no other clock has to be trusted. The driver's engine calls it to decide how stale a replica is and which node may
+// serve a token.
 //
-// PostgreSQL numbers the bytes of its log (the LSN) and the histories that promotions begin (the timeline).
-// Neither is a time. A Clock learns from each answer of the primary "between its send and its arrival the log
-// stood at L" and bounds times from that, always to the safe side:
+// PostgreSQL numbers the bytes of its log (the LSN) and the histories that promotions begin (the timeline). Neither is
+// a time. From each answer of the primary a Clock learns that the log was at some LSN between the request and the
+// answer, and derives bounds on the safe side:
 //
-//   - what a replica has applied is bounded from below: it is never taken to be newer than it is;
-//   - when a commit happened is bounded from above: a token never asks for less than it should.
+//   - what a replica has applied is bounded from below: a replica is never taken to be newer than it is;
+//   - the time of a commit is bounded from above: a token never requires less than it should.
 //
-// Nothing is extrapolated. What no observation bounds is "unproven" on the one side and "the present" on the
-// other. docs/positions.md has the proof.
+// Nothing is extrapolated. Without an observation that bounds it, a replica counts as unproven and a commit as made in
+// the present. docs/positions.md has the proof.
 package position
 
 import (
@@ -21,27 +23,29 @@
 	"time"
 )
 
-// Unknown is the LSN of a commit that certainly happened but whose place was not heard. It lies after all
-// others of its timeline, so that it asks for the present.
+// Unknown is the LSN of a commit that certainly happened but whose position was not reported. It is greater than any
+// other LSN, so that only the present state of its timeline satisfies it.
 const Unknown = math.MaxUint64
 
-// Present is a place that asks for the present of a slice, whatever its timeline is by then.
+// Present is a position that only the present state of a slice satisfies, whatever its timeline is by then.
 var Present = Position{Timeline: math.MaxUint32, LSN: Unknown}
 
-// Position is a place in the history of a slice: the timeline, the byte on it (PostgreSQL's LSN), and transactions. A
-// replica shows just what it has replayed, so there the LSN says it all. A primary has each commit in its log before it
-// shows it, and replicas may show it meanwhile: there Transactions are those that are over and shown. Of a place that
-// somebody asks for they are those that a replica may have shown them, none if none did. The zero Position is "none".
+// Position is a point in the history of a slice: the timeline, the byte in its log (PostgreSQL's LSN), and
+// transactions. On a replica the LSN determines what is visible. A primary writes a commit to its log before it makes
+// it visible, and replicas may show it in between; there Transactions is the set of those that are finished and
+// visible. In a position that a client requires, it is the set of those that a replica may have shown it, empty if none
+// did. The zero Position means none.
 type Position struct {
 	Timeline     uint32
 	LSN          uint64
 	Transactions Transactions
 }
 
-// IsZero tells whether p is no place at all.
+// IsZero reports whether p is the zero Position.
 func (p Position) IsZero() bool { return p == Position{} }
 
-// Compare sorts by timeline, then by LSN, then by transactions. Covers is the order that tells who has seen more.
+// Compare returns -1, 0 or 1 in the order of timeline, LSN and transactions. It is a total order for sorting; Covers
+// compares what has been seen.
 func (p Position) Compare(q Position) int {
 	switch {
 	case p.Timeline != q.Timeline:
@@ -57,27 +61,28 @@
 	return p.Transactions.Compare(q.Transactions)
 }
 
-// IsPresent tells whether p asks for the present.
+// IsPresent reports whether p requires the present state of the slice.
 func (p Position) IsPresent() bool { return p.Timeline == Present.Timeline && p.LSN == Unknown }
 
-// Covers tells whether whoever stands at p has all that a place q of the same history stands for: p is no older
-// by timeline and no earlier by LSN, and shows what q saw. The timeline alone does not tell: a replica that follows a newer timeline
-// may still replay the part that is shared with the older one.
+// Covers reports whether a node at p has everything up to q in the same history: neither p's timeline nor its LSN is
+// lower, and its transactions include those of q. The timeline alone is not enough: a replica that follows a newer
+// timeline may still be replaying the part that it shares with the older one.
 func (p Position) Covers(q Position) bool {
 	return p.Timeline >= q.Timeline && p.LSN >= q.LSN && p.Transactions.Covers(q.Transactions)
 }
 
-// Join is the least place that covers both.
+// Join returns the least position that covers p and q.
 func (p Position) Join(q Position) Position {
 	return Position{Timeline: max(p.Timeline, q.Timeline), LSN: max(p.LSN, q.LSN), Transactions: p.Transactions.Union(q.Transactions)}
 }
 
-// Meet is the greatest place that both cover: what a page made of two reads of one slice holds.
+// Meet returns the greatest position that both p and q cover, as a result combined from two reads of one slice reflects
+// it.
 func (p Position) Meet(q Position) Position {
 	return Position{Timeline: min(p.Timeline, q.Timeline), LSN: min(p.LSN, q.LSN), Transactions: p.Transactions.Intersect(q.Transactions)}
 }
 
-// String writes PostgreSQL's form with the timeline in front: 2:16/B374D848.
+// String returns PostgreSQL's form with the timeline in front, as in 2:16/B374D848.
 func (p Position) String() string {
 	if p.IsPresent() {
 		return "present"
@@ -88,48 +93,51 @@
 	return fmt.Sprintf("%d:%X/%X", p.Timeline, p.LSN>>32, uint32(p.LSN))
 }
 
-// ParseLSN reads PostgreSQL's text form of an LSN, two hexadecimal numbers around a slash.
+// ParseLSN parses PostgreSQL's text form of an LSN, two hexadecimal numbers of up to 32 bits separated by a slash. It
+// returns an error for any other text.
 func ParseLSN(s string) (uint64, error) {
 	high, low, ok := strings.Cut(s, "/")
 	h, err1 := strconv.ParseUint(high, 16, 32)
 	l, err2 := strconv.ParseUint(low, 16, 32)
 	if !ok || err1 != nil || err2 != nil {
-		return 0, fmt.Errorf("%q is no log position; one looks like 16/B374D848", s)
+		return 0, fmt.Errorf("%q is not a log position, want two hexadecimal numbers as in 16/B374D848", s)
 	}
 	return h<<32 | l, nil
 }
 
-// maxPoints bounds a Clock's memory. Points beyond it are thinned out, which only loosens bounds.
+// maxPoints limits the points of each kind that a Clock keeps. Beyond it older points are thinned out, which only
+// loosens bounds.
 const maxPoints = 1024
 
-// point is one bound: the log stood at lsn at some time not before (lower) or not after (upper) at.
+// point is one bound: the log was at lsn at some time not before at (in Clock.lower) or not after at (in Clock.upper).
 type point struct {
 	lsn uint64
 	at  time.Duration
 }
 
-// Clock bounds the times of the positions of one slice. The zero Clock is ready; it is not safe for
-// concurrent use. Times are on the driver's own steady clock.
+// Clock bounds the times of the positions of one slice. The zero Clock is ready to use; it is not safe for concurrent
+// use. Times are on the driver's monotonic clock.
 type Clock struct {
-	timeline uint32
-	known    bool              // the primary of the timeline was heard
-	first    time.Duration     // when it was first heard
-	forks    map[uint32]uint64 // by timeline, the last LSN that its successor kept
-	lower    []point           // by LSN; at is when an answer with it was sent, rising
-	upper    []point           // by LSN; at is when an answer with it was heard, rising
+	timeline      uint32
+	observed      bool              // an observation of the timeline's primary was recorded
+	firstReceived time.Duration     // earliest time at which one was received
+	forks         map[uint32]uint64 // highest LSN that the successor of a timeline kept, by timeline
+	lower         []point           // ascending in both fields; at is when the request was sent
+	upper         []point           // ascending in both fields; at is when the answer was received
 }
 
-// Timeline is the highest timeline seen so far, 0 before any.
+// Timeline returns the highest timeline seen so far, 0 before any.
 func (c *Clock) Timeline() uint32 { return c.timeline }
 
-// Seen takes note that somebody is on a timeline: whatever claims to be primary of an older one is superseded.
+// Seen records that a node is on a timeline. If it is higher than any before, all bounds are dropped (forks stay), and
+// observations of lower timelines are ignored from now on, as their primaries are superseded.
 func (c *Clock) Seen(timeline uint32) {
 	if timeline > c.timeline {
 		*c = Clock{timeline: timeline, forks: c.forks, lower: c.lower[:0], upper: c.upper[:0]}
 	}
 }
 
-// Forked takes note of where a timeline was left: the last place that its successor kept.
+// Forked records the fork of a timeline: the last position that its successor kept.
 func (c *Clock) Forked(at Position) {
 	if c.forks == nil {
 		c.forks = map[uint32]uint64{}
@@ -139,14 +147,15 @@
 	}
 }
 
-// Fork is the last place of a timeline that its successor kept, or one beyond it if no closer one is known.
+// Fork returns the lowest recorded fork of a timeline, as an LSN, and false if none was recorded. The true fork is not
+// beyond it.
 func (c *Clock) Fork(timeline uint32) (lsn uint64, known bool) {
 	lsn, known = c.forks[timeline]
 	return lsn, known
 }
 
-// Lost tells whether a place is known not to be part of the present history: a promotion left it out. A place
-// whose timeline's end was not heard is not known to be lost, nor is one that is itself unknown.
+// Lost reports whether a promotion is known to have dropped p from the present history. It is false if the fork or
+// p's LSN is not known.
 func (c *Clock) Lost(p Position) bool {
 	if p.LSN == Unknown {
 		return false
@@ -159,25 +168,25 @@
 	return false
 }
 
-// Primary takes note that the primary's log stood at p at some time between sent and heard. It tells whether
-// the observation counted: that of a superseded primary does not.
-func (c *Clock) Primary(p Position, sent, heard time.Duration) bool {
+// Primary records that the primary's log was at p at some time between sent and received. It returns false and records
+// no bound if p is on a superseded timeline, its LSN is unknown or received is before sent.
+func (c *Clock) Primary(p Position, sent, received time.Duration) bool {
 	c.Seen(p.Timeline)
-	if p.Timeline < c.timeline || p.LSN == Unknown || heard < sent {
+	if p.Timeline < c.timeline || p.LSN == Unknown || received < sent {
 		return false
 	}
-	if !c.known || heard < c.first {
-		c.known, c.first = true, heard
+	if !c.observed || received < c.firstReceived {
+		c.observed, c.firstReceived = true, received
 	}
-	c.lower = raise(c.lower, point{p.LSN, sent})
-	c.upper = lowerTo(c.upper, point{p.LSN, heard})
+	c.lower = addLower(c.lower, point{p.LSN, sent})
+	c.upper = addUpper(c.upper, point{p.LSN, received})
 	return true
 }
 
-// AppliedBy bounds from below what a member at p has: every commit that was answered before that time. It is
-// false where nothing is proven, as on a timeline whose primary was not heard.
+// AppliedBy returns a time such that a member at p has applied every commit that was answered before it. It returns
+// false if no such time is proven, as on a timeline whose primary was not observed.
 func (c *Clock) AppliedBy(p Position) (time.Duration, bool) {
-	if !c.known || p.Timeline != c.timeline {
+	if !c.observed || p.Timeline != c.timeline {
 		return 0, false
 	}
 	i := sort.Search(len(c.lower), func(i int) bool { return c.lower[i].lsn > p.LSN })
@@ -187,13 +196,13 @@
 	return c.lower[i-1].at, true
 }
 
-// CommittedBy bounds from above when the commit at p happened. It is false where only the present will do.
+// CommittedBy returns a time by which the commit at p had happened. It returns false if only the present is a bound.
 func (c *Clock) CommittedBy(p Position) (time.Duration, bool) {
 	switch {
-	case !c.known || p.Timeline > c.timeline:
+	case !c.observed || p.Timeline > c.timeline:
 		return 0, false
 	case p.Timeline < c.timeline:
-		return c.first, true // if it survived, it was there before the promotion that we heard of by then
+		return c.firstReceived, true // if it survived, it precedes the promotion, which was observed by then
 	}
 	i := sort.Search(len(c.upper), func(i int) bool { return c.upper[i].lsn >= p.LSN })
 	if i == len(c.upper) {
@@ -202,16 +211,16 @@
 	return c.upper[i].at, true
 }
 
-// ReachedBy is a time such that whoever is proven (AppliedBy) at or after it stands at p or beyond, false if there
-// is none yet. It is when the first observation at or beyond p was sent, and so earlier than CommittedBy by a way
-// to the primary and back: it bounds members, not commits. Thinning may make a member that was proven before it
-// fall short of p; who serves reads checks the place itself.
+// ReachedBy returns a time such that a member whose AppliedBy is at or after it is at p or beyond, and false if there
+// is none yet. It is when the request of the first observation at or beyond p was sent, about a round trip to the
+// primary earlier than CommittedBy, and thus bounds members, not commits. After thinning, a member that was proven
+// before may fall short of p; reads check the position itself.
 func (c *Clock) ReachedBy(p Position) (time.Duration, bool) {
 	switch {
-	case !c.known || p.Timeline > c.timeline:
+	case !c.observed || p.Timeline > c.timeline:
 		return 0, false
 	case p.LSN == Unknown && p.Timeline < c.timeline:
-		return c.first, true // whoever is proven on the newer timeline has all that the older one kept
+		return c.firstReceived, true // a member proven on the newer timeline has all that the older one kept
 	}
 	i := sort.Search(len(c.lower), func(i int) bool { return c.lower[i].lsn >= p.LSN })
 	if i == len(c.lower) {
@@ -220,7 +229,7 @@
 	return c.lower[i].at, true
 }
 
-// Newest is when the newest observation of the primary was sent, false before the first.
+// Newest returns when the request of the newest observation of the primary was sent, and false before the first.
 func (c *Clock) Newest() (time.Duration, bool) {
 	if len(c.lower) == 0 {
 		return 0, false
@@ -228,8 +237,8 @@
 	return c.lower[len(c.lower)-1].at, true
 }
 
-// After is a place that the primary's log was heard to stand at some time after t, false if none: whatever was
-// committed by t on the clock's timeline lies at or before it.
+// After returns a position that the primary's log reached at some time after t, and false if none was observed.
+// Whatever was committed by t on the clock's timeline is at or before it.
 func (c *Clock) After(t time.Duration) (Position, bool) {
 	i := sort.Search(len(c.lower), func(i int) bool { return c.lower[i].at > t })
 	if i == len(c.lower) {
@@ -238,8 +247,9 @@
 	return Position{Timeline: c.timeline, LSN: c.lower[i].lsn}, true
 }
 
-// raise adds a lower bound to points that rise in both fields, unless one at no higher LSN is as late.
-func raise(points []point, p point) []point {
+// addLower adds a lower bound to points that ascend in both fields, unless one at the same or a lower LSN is at least
+// as late.
+func addLower(points []point, p point) []point {
 	i := sort.Search(len(points), func(i int) bool { return points[i].lsn > p.lsn })
 	if i > 0 && points[i-1].at >= p.at {
 		return points
@@ -255,8 +265,9 @@
 	return thin(splice(points, from, to, p))
 }
 
-// lowerTo adds an upper bound to points that rise in both fields, unless one at no lower LSN is as early.
-func lowerTo(points []point, p point) []point {
+// addUpper adds an upper bound to points that ascend in both fields, unless one at the same or a higher LSN is at least
+// as early.
+func addUpper(points []point, p point) []point {
 	i := sort.Search(len(points), func(i int) bool { return points[i].lsn >= p.lsn })
 	if i < len(points) && points[i].at <= p.at {
 		return points
@@ -272,7 +283,7 @@
 	return thin(splice(points, from, to, p))
 }
 
-// splice puts p in the place of points[from:to].
+// splice replaces points[from:to] with p.
 func splice(points []point, from, to int, p point) []point {
 	if from == to {
 		points = append(points, point{})
@@ -284,7 +295,7 @@
 	return append(points[:from+1], points[to:]...)
 }
 
-// thin drops every second point of the older half once there are too many.
+// thin drops every second point of the older half if there are more than maxPoints.
 func thin(points []point) []point {
 	if len(points) <= maxPoints {
 		return points
--- a/position/position_test.go
+++ b/position/position_test.go
@@ -7,11 +7,11 @@
 	"pgregory.net/rapid"
 )
 
-// history is the truth that a clock sees parts of: a log with commits, forked by promotions.
+// history is the actual log that a clock observes parts of: commits, and forks by promotions.
 type history struct {
-	commits []commit
-	promos  []promo
-	end     time.Duration
+	commits    []commit
+	promotions []promotion
+	end        time.Duration
 }
 
 type commit struct {
@@ -19,17 +19,17 @@
 	when time.Duration
 }
 
-type promo struct {
-	at   Position // where the new timeline begins
+type promotion struct {
+	at   Position // start of the new timeline
 	when time.Duration
 }
 
-// draw makes a history of one to three timelines; a promotion may lose the last commits before it.
-func draw(t *rapid.T) history {
+// drawHistory generates a history of one to three timelines; a promotion may lose the last commits before it.
+func drawHistory(t *rapid.T) history {
 	var h history
 	now, lsn := time.Duration(0), uint64(100)
 	for tl := uint32(1); tl <= uint32(rapid.IntRange(1, 3).Draw(t, "timelines")); tl++ {
-		h.promos = append(h.promos, promo{Position{Timeline: tl, LSN: lsn}, now})
+		h.promotions = append(h.promotions, promotion{Position{Timeline: tl, LSN: lsn}, now})
 		fork := lsn
 		for range rapid.IntRange(1, 12).Draw(t, "commits") {
 			now += time.Duration(rapid.IntRange(1, 50).Draw(t, "gap"))
@@ -45,9 +45,9 @@
 	return h
 }
 
-// stood is where the log of a timeline stood at a time.
-func (h history) stood(tl uint32, when time.Duration) Position {
-	p := h.promos[tl-1].at
+// positionAt returns the position of a timeline's log at a time.
+func (h history) positionAt(tl uint32, when time.Duration) Position {
+	p := h.promotions[tl-1].at
 	for _, c := range h.commits {
 		if c.at.Timeline == tl && c.when <= when {
 			p = c.at
@@ -56,10 +56,10 @@
 	return p
 }
 
-// survives tells whether a commit is in the history of a timeline.
+// survives reports whether a commit is in the history of a timeline.
 func (h history) survives(c commit, tl uint32) bool {
 	for next := c.at.Timeline; next < tl; next++ {
-		if c.at.LSN > h.promos[next].at.LSN {
+		if c.at.LSN > h.promotions[next].at.LSN {
 			return false
 		}
 	}
@@ -68,7 +68,7 @@
 
 func (h history) timelineAt(when time.Duration) uint32 {
 	tl := uint32(1)
-	for i, p := range h.promos {
+	for i, p := range h.promotions {
 		if p.when <= when {
 			tl = uint32(i + 1)
 		}
@@ -76,31 +76,31 @@
 	return tl
 }
 
-// TestClockIsSafe shows that no order of observations makes a replica look newer, or a token older, than it is.
-func TestClockIsSafe(t *testing.T) {
+// TestClockBoundsAreSafe: no order of observations makes a replica look newer, or a commit look earlier, than it is.
+func TestClockBoundsAreSafe(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		h := draw(t)
-		type seen struct {
-			p           Position
-			sent, heard time.Duration
+		h := drawHistory(t)
+		type observation struct {
+			p              Position
+			sent, received time.Duration
 		}
-		var all []seen
-		last := uint32(len(h.promos))
+		var all []observation
+		last := uint32(len(h.promotions))
 		for range rapid.IntRange(1, 40).Draw(t, "observations") {
 			at := time.Duration(rapid.IntRange(0, int(h.end)).Draw(t, "at"))
 			sent := at - time.Duration(rapid.IntRange(0, 20).Draw(t, "out"))
-			heard := at + time.Duration(rapid.IntRange(0, 20).Draw(t, "back"))
-			all = append(all, seen{h.stood(h.timelineAt(at), at), sent, heard})
+			received := at + time.Duration(rapid.IntRange(0, 20).Draw(t, "back"))
+			all = append(all, observation{h.positionAt(h.timelineAt(at), at), sent, received})
 		}
 		var c Clock
 		for _, i := range rapid.Permutation(seq(len(all))).Draw(t, "order") {
-			c.Primary(all[i].p, all[i].sent, all[i].heard)
+			c.Primary(all[i].p, all[i].sent, all[i].received)
 		}
 		if rapid.Bool().Draw(t, "last timeline seen") {
 			c.Seen(last)
 		}
 		tl := c.Timeline()
-		for _, p := range h.promos[:tl] {
+		for _, p := range h.promotions[:tl] {
 			member := p.at
 			for _, add := range []uint64{0, 1, 7, 50, 1000} {
 				member.LSN = p.at.LSN + add
@@ -110,14 +110,14 @@
 				}
 				for _, com := range h.commits {
 					if com.when < by && h.survives(com, tl) && com.at.LSN > member.LSN {
-						t.Fatalf("member at %v counts as applied by %v but lacks %v of %v", member, by, com.at, com.when)
+						t.Fatalf("member at %v is proven up to %v but lacks commit %v of %v", member, by, com.at, com.when)
 					}
 				}
 			}
 		}
 		for _, com := range h.commits {
 			if by, ok := c.CommittedBy(com.at); ok && by < com.when && h.survives(com, tl) {
-				t.Fatalf("commit %v of %v counts as made by %v", com.at, com.when, by)
+				t.Fatalf("commit %v of %v is bounded by %v", com.at, com.when, by)
 			}
 		}
 	})
@@ -131,20 +131,20 @@
 	return s
 }
 
-// TestOrderDoesNotMatter shows that the bounds of one timeline depend on what was seen, not on when.
+// TestOrderDoesNotMatter: the bounds on one timeline depend on the observations, not on their order.
 func TestOrderDoesNotMatter(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		h := draw(t)
+		h := drawHistory(t)
 		n := rapid.IntRange(1, 30).Draw(t, "observations")
 		var a, b Clock
 		at := rapid.SliceOfN(rapid.IntRange(0, int(h.end)), n, n).Draw(t, "at")
 		for _, i := range seq(n) {
 			when := time.Duration(at[i])
-			a.Primary(h.stood(1, when), when-3, when+5)
+			a.Primary(h.positionAt(1, when), when-3, when+5)
 		}
 		for _, i := range rapid.Permutation(seq(n)).Draw(t, "order") {
 			when := time.Duration(at[i])
-			b.Primary(h.stood(1, when), when-3, when+5)
+			b.Primary(h.positionAt(1, when), when-3, when+5)
 		}
 		for lsn := uint64(90); lsn < 600; lsn += 7 {
 			p := Position{Timeline: 1, LSN: lsn}
@@ -153,34 +153,34 @@
 			a2, aok2 := a.CommittedBy(p)
 			b2, bok2 := b.CommittedBy(p)
 			if a1 != b1 || a2 != b2 || aok != bok || aok2 != bok2 {
-				t.Fatalf("at %v: %v %v / %v %v", p, a1, a2, b1, b2)
+				t.Fatalf("at %v the bounds are %v %v in order, %v %v permuted", p, a1, a2, b1, b2)
 			}
 		}
 	})
 }
 
-func TestUnknownAsksForThePresent(t *testing.T) {
+func TestUnknownRequiresThePresent(t *testing.T) {
 	var c Clock
 	c.Primary(Position{Timeline: 1, LSN: 100}, 10, 12)
 	if _, ok := c.CommittedBy(Position{Timeline: 1, LSN: Unknown}); ok {
-		t.Error("a commit at an unknown place was bounded")
+		t.Error("the time of a commit at an unknown position was bounded")
 	}
 	if _, ok := c.CommittedBy(Position{Timeline: 2, LSN: 50}); ok {
-		t.Error("a commit on a timeline not seen was bounded")
+		t.Error("the time of a commit on an unseen timeline was bounded")
 	}
 	c.Primary(Position{Timeline: 2, LSN: 110}, 30, 33)
 	if by, ok := c.CommittedBy(Position{Timeline: 1, LSN: Unknown}); !ok || by != 33 {
-		t.Errorf("after the promotion it was made by %v, %v, want 33", by, ok)
+		t.Errorf("after the promotion the commit is bounded by %v, %v, want 33", by, ok)
 	}
 	if c.Primary(Position{Timeline: 1, LSN: 500}, 40, 41) {
-		t.Error("a superseded primary was believed")
+		t.Error("an observation of a superseded primary was recorded")
 	}
 	if _, ok := c.AppliedBy(Position{Timeline: 1, LSN: 500}); ok {
 		t.Error("a member of the superseded timeline counts as proven")
 	}
 }
 
-func TestMemoryIsBounded(t *testing.T) {
+func TestPointsAreBounded(t *testing.T) {
 	var c Clock
 	for i := range 20 * maxPoints {
 		c.Primary(Position{Timeline: 1, LSN: uint64(i)}, time.Duration(i), time.Duration(i+1))
@@ -201,7 +201,7 @@
 	}
 	for _, text := range []string{"", "/", "1", "1/", "G/1", "100000000/0", "1/2/3", "-1/2"} {
 		if _, err := ParseLSN(text); err == nil {
-			t.Errorf("%q was taken", text)
+			t.Errorf("%q was accepted", text)
 		}
 	}
 }
--- a/position/transactions.go
+++ b/position/transactions.go
@@ -9,21 +9,21 @@
 	"strings"
 )
 
-// Transactions is a set of transactions: all below an id, with at most one exception. The ids are PostgreSQL's full
-// ones, which include the epoch. The zero Transactions is the empty set. Sets made by the functions of this package are
-// in their one normal form, so that equal sets are equal by ==.
+// Transactions is a set of transaction ids: all below a bound, with at most one exception. The ids are PostgreSQL's
+// 64-bit ones, which include the epoch. The zero Transactions is the empty set. The functions of this package return
+// sets in normal form, in which equal sets are equal by ==.
 type Transactions struct {
-	Below  uint64 // first id that is not in the set
-	Except uint64 // an id below Below that is not in the set either; 0 for none
+	Below  uint64 // no id from this one on is in the set
+	Except uint64 // an id below Below that is not in the set; 0 for none
 }
 
-// AllTransactions has every transaction.
+// AllTransactions is the set of all transactions.
 var AllTransactions = Transactions{Below: math.MaxUint64}
 
-// TransactionsBelow has all transactions below an id.
+// TransactionsBelow returns the set of all transactions below an id.
 func TransactionsBelow(id uint64) Transactions { return Transactions{Below: id} }
 
-// normal is the set in its normal form.
+// normal returns the set in normal form.
 func (t Transactions) normal() Transactions {
 	switch {
 	case t.Except == 0 || t.Except >= t.Below:
@@ -34,18 +34,18 @@
 	return t
 }
 
-// Normal tells whether the set is in its normal form, as one from elsewhere may not be.
+// Normal reports whether the set is in normal form; a decoded one may not be.
 func (t Transactions) Normal() bool { return t == t.normal() }
 
-// Has tells whether a transaction is in the set.
+// Has reports whether a transaction is in the set.
 func (t Transactions) Has(id uint64) bool { return id < t.Below && (id != t.Except || id == 0) }
 
-// Covers tells whether every transaction of u is in t.
+// Covers reports whether t contains every transaction of u.
 func (t Transactions) Covers(u Transactions) bool {
 	return u.Below <= t.Below && (t.Except == 0 || !u.Has(t.Except))
 }
 
-// Union is the set of what is in t or in u.
+// Union returns the set of all transactions in t or in u.
 func (t Transactions) Union(u Transactions) Transactions {
 	out := Transactions{Below: max(t.Below, u.Below)}
 	switch {
@@ -57,7 +57,7 @@
 	return out.normal()
 }
 
-// Intersect is the greatest set of this form that lies in both t and u: where their exceptions differ, it ends below
+// Intersect returns the largest set of this form that t and u both contain: if their exceptions differ, it ends below
 // the higher one.
 func (t Transactions) Intersect(u Transactions) Transactions {
 	out := Transactions{Below: min(t.Below, u.Below), Except: t.Except}
@@ -70,23 +70,24 @@
 	return out.normal()
 }
 
-// Compare sorts sets; it is not the order of Covers.
+// Compare returns -1, 0 or 1 in a total order for sorting, which differs from that of Covers.
 func (t Transactions) Compare(u Transactions) int {
 	return cmp.Or(cmp.Compare(t.Below, u.Below), cmp.Compare(t.Except, u.Except))
 }
 
-// Snapshot is what PostgreSQL's pg_current_snapshot tells.
+// Snapshot is the result of PostgreSQL's pg_current_snapshot.
 type Snapshot struct {
-	Oldest uint64   // xmin: all transactions below it are over
-	Next   uint64   // xmax: no transaction at or above it was over
-	InUse  []uint64 // xip_list: transactions between these that were running. A server in recovery tells none.
+	Oldest uint64   // xmin: all transactions below it are finished
+	Next   uint64   // xmax: no transaction from it on was finished
+	InUse  []uint64 // xip_list: the running transactions between these, in ascending order; a server in recovery reports none
 }
 
-// ParseSnapshot reads PostgreSQL's text form of a snapshot, "xmin:xmax:xip_list".
+// ParseSnapshot parses PostgreSQL's text form of a snapshot, "xmin:xmax:xip_list". It returns an error if the text has
+// another form, an id is not a 64-bit decimal number or xmin is above xmax.
 func ParseSnapshot(text string) (s Snapshot, err error) {
 	fields := strings.Split(text, ":")
 	if len(fields) != 3 {
-		return s, fmt.Errorf("%q is no snapshot; one looks like 10:20:10,14,15", text)
+		return s, fmt.Errorf("%q is not a snapshot, want xmin:xmax:xip_list as in 10:20:10,14,15", text)
 	}
 	if s.Oldest, err = parseID(fields[0]); err != nil {
 		return s, err
@@ -95,7 +96,7 @@
 		return s, err
 	}
 	if s.Oldest > s.Next {
-		return s, fmt.Errorf("snapshot %q ends before it begins", text)
+		return s, fmt.Errorf("snapshot %q has xmin above xmax", text)
 	}
 	for list := fields[2]; list != ""; {
 		var one string
@@ -118,8 +119,8 @@
 	return id, nil
 }
 
-// Over has transactions that are over and shown by the primary that told the snapshot: all but the oldest that runs,
-// up to the next one that runs.
+// Over returns transactions that are finished and visible on the primary that reported the snapshot: all below the
+// second oldest running one, or below xmax if fewer run, except the oldest running one.
 func (s *Snapshot) Over() Transactions {
 	out := Transactions{Below: s.Next}
 	if len(s.InUse) > 0 {
@@ -131,8 +132,8 @@
 	return out.normal()
 }
 
-// Shown has every transaction that the replica which told the snapshot may have shown: all that began before the
-// newest that was over, but for the oldest that still ran. The others that ran are not told, and count as shown.
+// Shown returns every transaction that the replica which reported the snapshot may have shown: all below xmax except
+// xmin, the oldest one that was still running. The other running ones are not reported and count as shown.
 func (s *Snapshot) Shown() Transactions {
 	return Transactions{Below: s.Next, Except: s.Oldest}.normal()
 }
--- a/position/transactions_test.go
+++ b/position/transactions_test.go
@@ -7,45 +7,45 @@
 	"pgregory.net/rapid"
 )
 
-const mostID = 8
+const maxID = 8
 
 func drawSet(t *rapid.T, name string) Transactions {
-	return Transactions{Below: rapid.Uint64Range(0, mostID).Draw(t, name+" below"), Except: rapid.Uint64Range(0, mostID).Draw(t, name+" except")}.normal()
+	return Transactions{Below: rapid.Uint64Range(0, maxID).Draw(t, name+" below"), Except: rapid.Uint64Range(0, maxID).Draw(t, name+" except")}.normal()
 }
 
-// TestTransactions compares each operation with what it means, member by member.
+// TestTransactions compares each operation on sets with its definition on single transactions.
 func TestTransactions(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a, b, c := drawSet(t, "a"), drawSet(t, "b"), drawSet(t, "c")
 		union, meet, covers, same := a.Union(b), a.Intersect(b), true, true
-		for id := uint64(0); id <= mostID; id++ {
+		for id := uint64(0); id <= maxID; id++ {
 			if a.Has(id) || b.Has(id) {
 				if !union.Has(id) {
-					t.Fatalf("%v with %v is %v, without %d", a, b, union, id)
+					t.Fatalf("the union of %v and %v is %v, without %d", a, b, union, id)
 				}
 			}
 			if meet.Has(id) && !(a.Has(id) && b.Has(id)) {
-				t.Fatalf("what %v and %v share is %v, with %d", a, b, meet, id)
+				t.Fatalf("the intersection of %v and %v is %v, with %d", a, b, meet, id)
 			}
 			covers = covers && (a.Has(id) || !b.Has(id))
 			same = same && a.Has(id) == b.Has(id)
 		}
 		if a.Covers(b) != covers {
-			t.Fatalf("%v covers %v: %v", a, b, a.Covers(b))
+			t.Fatalf("%v covers %v is reported as %v", a, b, a.Covers(b))
 		}
 		if same && a != b {
-			t.Fatalf("%v and %v are the same set", a, b)
+			t.Fatalf("%v and %v are the same set but not equal", a, b)
 		}
 		if c.Covers(a) && c.Covers(b) && !c.Covers(union) {
-			t.Fatalf("%v covers %v and %v, not their union %v", c, a, b, union)
+			t.Fatalf("%v covers %v and %v but not their union %v", c, a, b, union)
 		}
 		if a.Covers(c) && b.Covers(c) && !meet.Covers(c) {
-			t.Fatalf("%v and %v cover %v, what they share, %v, does not", a, b, c, meet)
+			t.Fatalf("%v and %v cover %v, but their intersection %v does not", a, b, c, meet)
 		}
 	})
 }
 
-// TestSnapshots: what a primary and a replica tell by the same kind of text.
+// TestSnapshots: the same text of a snapshot means different sets on a primary and on a replica.
 func TestSnapshots(t *testing.T) {
 	for _, c := range []struct {
 		text        string
@@ -62,9 +62,9 @@
 			t.Errorf("%s: %v, over %v, shown %v", c.text, err, s.Over(), s.Shown())
 		}
 	}
-	for text, says := range map[string]string{"20": "is no snapshot", "a:20:": "transaction id \"a\"", "10:20:x": "\"x\"",
-		"10:20:11,": "", "20:10:": "ends before it begins", "10:b:": "\"b\""} {
-		if _, err := ParseSnapshot(text); says != "" && (err == nil || !strings.Contains(err.Error(), says)) {
+	for text, want := range map[string]string{"20": "is not a snapshot", "a:20:": "transaction id \"a\"", "10:20:x": "\"x\"",
+		"10:20:11,": "", "20:10:": "has xmin above xmax", "10:b:": "\"b\""} {
+		if _, err := ParseSnapshot(text); want != "" && (err == nil || !strings.Contains(err.Error(), want)) {
 			t.Errorf("%q: %v", text, err)
 		}
 	}
