--- a/membership/membership.go
+++ b/membership/membership.go
@@ -42,7 +42,7 @@
 }
 
 // Member is a node in force. Instance increases when the same name has to be treated as a new node: a node that was
-// told to drain stays drained, so that calling the drain off creates a new instance.
+// drained once stays drained, so that calling the drain off creates a new instance.
 type Member struct {
 	inventory.Node
 	Instance int
