--- a/driver/bench_test.go
+++ b/driver/bench_test.go
@@ -11,7 +11,8 @@
 	"umberladder/token"
 )
 
-// benchEngine is an engine before slices of six nodes, all polled and with one connection each.
+// benchEngine returns an engine with slices of six nodes, all polled and with one connection each, the slices'
+// names, and a function that answers commands as the nodes would.
 func benchEngine(b testing.TB, nodes int) (*Engine, []string, func(cmds []Command) []Event) {
 	cfg := testConfig()
 	cfg.MaxOpen, cfg.PoolSize = 1<<20, 1<<20
@@ -53,8 +54,8 @@
 	return e, slices, reply
 }
 
-// BenchmarkEngine is the CPU time of one request from its arrival to its answer, all events included, before
-// fleets of several sizes. Polls run beside it as in service.
+// BenchmarkEngine measures the CPU time per request, from arrival to answer with all events, for several numbers
+// of nodes. Polls are included, as in service.
 func BenchmarkEngine(b *testing.B) {
 	for _, nodes := range []int{6, 30, 120, 480} {
 		b.Run(fmt.Sprintf("nodes=%d", nodes), func(b *testing.B) {
@@ -64,7 +65,7 @@
 			b.ResetTimer()
 			var events []Event
 			for i := range b.N {
-				now += 500 * time.Microsecond // 2,000 requests a second
+				now += 500 * time.Microsecond // 2,000 requests/s
 				events = append(events, Event{Kind: EventRequest, Request: RequestID(i + 1), Ask: Ask{Class: classArticle + 2*(i%2),
 					Slice: slices[i%len(slices)], Token: token.Token{}, Deadline: now + time.Second}})
 				events = reply(e.Step(now, events, nil))
@@ -73,7 +74,7 @@
 	}
 }
 
-// BenchmarkMemory reports the engine's memory for each request that is held. It wants -benchtime 1x.
+// BenchmarkMemory reports the engine's memory per open request, in bytes. Run it with -benchtime 1x.
 func BenchmarkMemory(b *testing.B) {
 	if b.N > 10 {
 		b.Skip("each round holds 10,000 requests; use -benchtime 1x")
@@ -102,9 +103,9 @@
 	}
 }
 
-// BenchmarkStep is the time of one step with a request and its answer, polls beside it, before fleets of several
-// sizes and with requests held elsewhere: writes of a slice without a primary. In one run, so that the figures can be
-// compared.
+// BenchmarkStep measures one step with a request and its answer, polls included, for several numbers of nodes, and
+// with other requests open: writes of a slice without a primary. All cases run together, so that their figures can
+// be compared.
 //
 //	go test ./driver -run '^$' -bench Step
 func BenchmarkStep(b *testing.B) {
@@ -123,7 +124,7 @@
 			b.ReportAllocs()
 			b.ResetTimer()
 			for i := range b.N {
-				now += 20 * time.Microsecond // so that few polls fall due: they are work of their own
+				now += 20 * time.Microsecond // so short that few polls are due, which would be extra work
 				events = append(events, Event{Kind: EventRequest, Request: RequestID(i + 1), Ask: Ask{Class: classArticle + 2*(i%2),
 					Slice: slices[i%len(slices)], Token: token.Token{}, Deadline: now + time.Second}})
 				events = reply(e.Step(now, events, nil))
@@ -136,7 +137,8 @@
 	}
 }
 
-// BenchmarkSessionMemory reports what a remembered session takes, and a token's bytes as text. It wants -benchtime 1x.
+// BenchmarkSessionMemory reports the memory per tracked session and the size of a token as text, in bytes. Run it
+// with -benchtime 1x.
 func BenchmarkSessionMemory(b *testing.B) {
 	const n = 100_000
 	memory := func() float64 {
@@ -150,7 +152,7 @@
 		before := memory()
 		s := newSessions(1 << 30)
 		for i := range n {
-			s.saw("news", fmt.Sprintf("reader-%08d", i), at(1, uint64(i)), time.Duration(i))
+			s.observe("news", fmt.Sprintf("reader-%08d", i), at(1, uint64(i)), time.Duration(i))
 		}
 		b.ReportMetric((memory()-before)/n, "B/session")
 		b.ReportMetric(float64(s.bytes)/n, "B/session-counted")
--- a/driver/catchup_test.go
+++ b/driver/catchup_test.go
@@ -7,12 +7,12 @@
 	"umberladder/token"
 )
 
-// behind is a slice whose replicas are a record behind when a read comes that must be recent, after a time without any
-// traffic. It returns the read, and the polls that each replica has answered so far.
-func behind(t *testing.T) (r *rig, read RequestID) {
+// laggingReplicas returns a slice without recent traffic whose replicas are one record behind, and a read with a
+// staleness bound that waits for one of them.
+func laggingReplicas(t *testing.T) (r *harness, read RequestID) {
 	cfg := testConfig()
-	cfg.Router.Routers = 50 // polls are far apart
-	r = newRig(t, cfg, fleetFacts())
+	cfg.Router.Routers = 50 // many drivers: polls are far apart
+	r = newHarness(t, cfg, fleetFacts())
 	for place := uint64(1000); ; place += 10 {
 		for name, n := range r.nodes {
 			n.facts.Position.LSN = place
@@ -20,7 +20,7 @@
 				n.facts.Position.LSN = place - 5
 			}
 		}
-		if read = r.ask(classArticle, token.Token{}); !r.isSent(read) {
+		if read = r.request(classArticle, token.Token{}); !r.isSent(read) {
 			return r, read
 		}
 		r.reply(r.sent(read))
@@ -31,13 +31,13 @@
 	}
 }
 
-// TestReplicaThatIsBehindIsAskedAgain: the replicas come up 10 ms after they were asked together with the primary. The
-// read that waits goes to one of them at once, not when the module would ask the next time.
-func TestReplicaThatIsBehindIsAskedAgain(t *testing.T) {
-	r, read := behind(t)
+// TestLaggingReplicaIsPolledAgain: the replicas catch up 10 ms after they were polled together with the primary.
+// The waiting read must go to one of them at once, not at the router's next poll.
+func TestLaggingReplicaIsPolledAgain(t *testing.T) {
+	r, read := laggingReplicas(t)
 	r.run(10 * ms)
 	if r.isSent(read) {
-		t.Fatal("it was sent while nothing proved a replica recent")
+		t.Fatal("the read was sent while no replica was proven recent")
 	}
 	for _, n := range r.nodes {
 		n.facts.Position.LSN = r.nodes["p"].facts.Position.LSN
@@ -48,34 +48,34 @@
 	} else {
 		r.reply(c)
 	}
-	r.quiet()
+	r.checkIdle()
 }
 
-// TestReplicaThatStaysBehind: it is asked a few times more, not on and on, and then the module has its answer. Nothing
-// of it happens while no request waits.
-func TestReplicaThatStaysBehind(t *testing.T) {
-	r, _ := behind(t)
-	log := len(r.log)
+// TestRepeatedPollsAreBounded: a replica that does not catch up is polled again only a few times before the router
+// gets its result, and not at all while no request waits.
+func TestRepeatedPollsAreBounded(t *testing.T) {
+	r, _ := laggingReplicas(t)
+	log := len(r.commands)
 	r.run(r.e.cfg.ClockAge + 5*ms)
 	for _, n := range r.e.nodes {
-		if n.polled {
-			t.Errorf("the module still waits for its poll of %s", n.listed.Name)
+		if n.pollPending {
+			t.Errorf("the router still waits for its poll of %s", n.entry.Name)
 		}
 	}
-	if n := len(r.log) - log; n < 4 || n > 60 {
+	if n := len(r.commands) - log; n < 4 || n > 60 {
 		t.Errorf("%d commands in 55 ms", n)
 	}
-	r.run(3 * time.Second) // the read is over
-	log = len(r.log)
+	r.run(3 * time.Second) // the read has ended
+	log = len(r.commands)
 	r.run(10 * time.Second)
-	calm := len(r.log) - log
+	calm := len(r.commands) - log
 	for _, n := range r.nodes {
 		n.facts.Position.LSN = r.nodes["p"].facts.Position.LSN
 	}
-	log = len(r.log)
+	log = len(r.commands)
 	r.run(10 * time.Second)
-	if even := len(r.log) - log; calm > even*5/4+5 {
-		t.Errorf("%d commands in ten seconds with replicas behind, %d with even ones", calm, even)
+	if even := len(r.commands) - log; calm > even*5/4+5 {
+		t.Errorf("%d commands in ten seconds with lagging replicas, %d with replicas that caught up", calm, even)
 	}
-	r.quiet()
+	r.checkIdle()
 }
--- a/driver/conns.go
+++ b/driver/conns.go
@@ -12,96 +12,96 @@
 	"umberladder/topology"
 )
 
-// node is one db node at one address. Another address under the same name is another node to the module.
+// node is one database node at one address. The same name at another address is another node to the router.
 type node struct {
 	pool.Pool[*conn]
 
-	id        balance.ServerID
-	listed    Node
-	slice     *slice
-	queue     []*attempt
-	prober    *conn         // the connection that polls go over
-	polled    bool          // the module awaits the end of a poll
-	polls     uint64        // how many were asked for
-	pause     time.Duration // before it was asked again within the present one
-	pollBegan time.Duration
-	pollWaits bool // for a connection for requests to come free
-	full      fullness
-	pollQuiet bool          // the primary's log was not heard lately when it began
-	facts     Facts         // that it told last
-	leaves    time.Duration // since when it is told to drain or to be gone; 0 if it is ready
-	doubtful  bool          // it said with an answer what is asked for again before it counts; nothing goes to it meanwhile
-	system    uint64        // the cluster that it is of, by what it told last
-	upstream  string        // what it followed by its last poll
-	followed  string        // what it was last told to follow
-	clock     nodeClock
-
-	heard, failing time.Duration // when it was, and since when it can't be asked; 0 for never
-	why            string        // it can't be asked
+	id             balance.ServerID
+	entry          Node
+	slice          *slice
+	queue          []*attempt
+	prober         *conn         // connection reserved for polls; nil if there is none
+	pollPending    bool          // the router waits for the result of a poll
+	polls          uint64        // number of polls started, repeats within a poll not counted
+	repollPause    time.Duration // delay before the last repeat within the current poll; 0 before the first
+	pollStarted    time.Duration
+	pollQueued     bool // the poll waits for a busy connection to become idle
+	backoff        dialBackoff
+	clockStale     bool          // at the start of the poll the primary's log position was older than Config.ClockAge
+	facts          Facts         // last reported
+	leavingSince   time.Duration // since when it is draining or not listed; 0 if it is ready
+	unconfirmed    bool          // its last answer contradicted the ledger; it gets no requests until a poll confirms it
+	system         uint64        // cluster identifier last reported, 0 if none
+	polledUpstream string        // address it streamed from at its last poll
+	knownUpstream  string        // address it streams from by its last poll, or by a later answer that names one
+	clock          nodeClock
+
+	lastAnswer, failingSince time.Duration // last answer; first failure since then; 0 for none
+	failure                  string        // last error while it could not be reached
 }
 
-// connState is the life of a connection.
+// connState is the state of a connection. The transitions are in life.go.
 type connState uint8
 
 const (
 	dialing connState = iota
 	idle
-	busy      // its exchange is awaited
-	lingering // its exchange is out and nobody awaits it
+	busy      // its exchange is in flight and awaited
+	lingering // its exchange is in flight and nobody awaits the reply
 	dead
 )
 
 type conn struct {
-	id       ConnID
-	node     *node
-	state    connState
-	probes   bool     // it is the node's prober
-	attempt  *attempt // whose exchange is out
-	sentAt   time.Duration
-	usedAt   time.Duration
-	reaped   bool // the timer of its idle time is set
-	canceled bool // a cancel was asked for: it can't be told what that will hit
+	id            ConnID
+	node          *node
+	state         connState
+	isProber      bool     // it is its node's prober
+	attempt       *attempt // whose exchange is in flight
+	sentAt        time.Duration
+	usedAt        time.Duration
+	reapScheduled bool // the timer that closes it when idle is set
+	canceled      bool // a cancel was sent; it could hit any later statement on the connection
 }
 
-// attemptState is the life of an attempt.
+// attemptState is the state of an attempt. The transitions are in life.go.
 type attemptState uint8
 
 const (
-	waiting attemptState = iota // for a connection; nothing of it was written
+	waiting attemptState = iota // for a connection; nothing was written
 	sent
-	over // its outcome was told
+	over // its outcome was reported to the router
 )
 
 type attempt struct {
-	request *request
-	number  int
-	node    *node
-	state   attemptState
-	conn    *conn
-	began   time.Duration // when the module sent it
-	until   time.Duration // when it ends at the latest
-	sentAt  time.Duration // when it went out, 0 before
-	ran     bool          // it ended without proof that nothing ran
-	opened  bool          // its streamed answer began and belongs to the client
+	request   *request
+	number    int
+	node      *node
+	state     attemptState
+	conn      *conn
+	startedAt time.Duration // when the router started it
+	deadline  time.Duration // it ends by then at the latest
+	sentAt    time.Duration // 0 while waiting
+	maybeRan  bool          // it ended without evidence that nothing ran
+	streaming bool          // rows of its answer were passed to the client
 }
 
-func (a *attempt) mayHaveRun() bool { return a.state == sent || a.ran }
+func (a *attempt) mayHaveRun() bool { return a.state == sent || a.maybeRan }
 
-// holds tells whether its exchange is still out and awaited on its connection.
-func (a *attempt) holds() bool { return a.conn.state == busy && a.conn.attempt == a }
+// ownsConn reports whether the attempt's exchange is in flight and awaited.
+func (a *attempt) ownsConn() bool { return a.conn.state == busy && a.conn.attempt == a }
 
-// nodeKey is what makes a node the same to the module.
+// nodeKey identifies a node to the router.
 type nodeKey struct {
 	name, address, slice string
 	instance             int
 }
 
-// nodeOf finds or makes the node of a list entry.
-func (e *Engine) nodeOf(n Node) *node {
+// findOrAddNode returns the node of a list entry and adds it if it is new.
+func (e *Engine) findOrAddNode(n Node) *node {
 	key := nodeKey{n.Name, n.Address, n.Slice, n.Instance}
 	known := e.byKey[key]
 	if known == nil {
-		known = &node{id: balance.ServerID(len(e.nodes) + 1), slice: e.sliceOf(n.Slice)}
+		known = &node{id: balance.ServerID(len(e.nodes) + 1), slice: e.findOrAddSlice(n.Slice)}
 		known.slice.nodes = append(known.slice.nodes, known)
 		e.byKey[key] = known
 		e.nodes[known.id] = known
@@ -109,11 +109,11 @@
 	return known
 }
 
-func (e *Engine) sliceOf(name string) *slice {
+func (e *Engine) findOrAddSlice(name string) *slice {
 	s := e.slices[name]
 	if s == nil {
 		s = &slice{name: name, group: len(e.slices), topo: topology.NewSlice(name)}
-		e.restored(s)
+		e.restoreSlice(s)
 		e.slices[name] = s
 		id := token.IDOf(name)
 		e.byToken[id] = append(e.byToken[id], s)
@@ -121,40 +121,42 @@
 	return s
 }
 
-// named puts names into a text of the module, which knows nodes by number alone.
-func (e *Engine) named(text string) string {
+// withNodeNames returns a log text of the router, which knows only numbers, with node names in it.
+func (e *Engine) withNodeNames(text string) string {
 	if id, ok := balance.LoggedPrimary(text); ok && e.nodes[id] != nil {
 		n := e.nodes[id]
-		return fmt.Sprintf("primary of slice %s is now %s", n.slice.name, n.listed.Name)
+		return fmt.Sprintf("primary of slice %s is now %s", n.slice.name, n.entry.Name)
 	}
 	return text
 }
 
-// try starts an attempt: on an idle connection, on a new one, or in line for the next that comes free.
-func (e *Engine) try(q *request, act *balance.Action) {
-	n := e.nodes[act.Server]
+// startAttempt starts an attempt: on an idle connection, else queued for the next one that is opened or becomes
+// idle. It ends as full at once if the node is at its connection limit and this driver has no connection there, so
+// that the router tries another node.
+func (e *Engine) startAttempt(q *request, action *balance.Action) {
+	n := e.nodes[action.Server]
 	if q == nil || n == nil {
 		return
 	}
-	a := &attempt{request: q, number: len(q.attempts), node: n, began: e.now}
+	a := &attempt{request: q, number: len(q.attempts), node: n, startedAt: e.now}
 	q.attempts = append(q.attempts, a)
-	if q.out == 0 && !q.done {
+	if q.inFlight == 0 && !q.done {
 		q.slice.waiting--
 	}
-	q.out++
+	q.inFlight++
 	if q.done || a.number >= max(1, e.cfg.Router.TryLimit) {
-		e.ended(a, balance.Event{Outcome: balance.OutcomeMoot})
+		e.endAttempt(a, balance.Event{Outcome: balance.OutcomeMoot})
 		return
 	}
-	if e.bar(a) {
+	if e.rejectIfBlocked(a) {
 		return
 	}
-	end := q.ask.Deadline - e.cfg.AnswerMargin
-	if act.After > 0 {
-		end = min(end, e.now+act.After)
+	deadline := q.ask.Deadline - e.cfg.AnswerMargin
+	if action.After > 0 {
+		deadline = min(deadline, e.now+action.After)
 	}
-	a.until = end
-	e.timers.Set(end, func(time.Duration) { e.timeout(a) })
+	a.deadline = deadline
+	e.timers.Set(deadline, func(time.Duration) { e.timeout(a) })
 	if c, ok := n.Take(); ok {
 		e.send(c, a)
 		return
@@ -164,18 +166,18 @@
 		return
 	}
 	n.queue = append(n.queue, a)
-	if e.refill(n); n.scarce() && n.open() == 0 && n.Dials == 0 {
-		e.ended(a, balance.Event{Outcome: balance.OutcomeFull})
+	if e.refill(n); n.atConnLimit() && n.open() == 0 && n.Dials == 0 {
+		e.endAttempt(a, balance.Event{Outcome: balance.OutcomeFull})
 		return
 	}
-	e.timers.Set(min(end, e.now+e.cfg.Router.DialTimeout), func(time.Duration) {
+	e.timers.Set(min(deadline, e.now+e.cfg.Router.DialTimeout), func(time.Duration) {
 		if a.state == waiting {
-			e.ended(a, balance.Event{Outcome: balance.OutcomeConnectFailed})
+			e.endAttempt(a, balance.Event{Outcome: balance.OutcomeConnectFailed})
 		}
 	})
 }
 
-// refill opens connections for those that wait at a node, one each, up to the pool's size.
+// refill opens one connection per queued attempt, within Config.PoolSize and the node's dial backoff.
 func (e *Engine) refill(n *node) {
 	for n.Dials < len(n.queue) && n.Len() < e.cfg.PoolSize && e.mayDial(n) {
 		n.Dial()
@@ -183,33 +185,33 @@
 	}
 }
 
-func (e *Engine) dial(n *node, probes bool) *conn {
+func (e *Engine) dial(n *node, isProber bool) *conn {
 	e.lastConn++
-	c := &conn{id: e.lastConn, node: n, probes: probes}
+	c := &conn{id: e.lastConn, node: n, isProber: isProber}
 	e.conns[c.id] = c
-	e.cmds = append(e.cmds, Command{Kind: CommandDial, Conn: c.id, Node: n.listed.Name, Address: n.listed.Address})
+	e.cmds = append(e.cmds, Command{Kind: CommandDial, Conn: c.id, Node: n.entry.Name, Address: n.entry.Address})
 	e.timers.Set(e.now+e.cfg.Router.DialTimeout, func(time.Duration) {
 		if c.state == dialing {
-			e.lost(c, true)
-			e.undialed(c, &DialError{Err: fmt.Errorf("no connection within %v", e.cfg.Router.DialTimeout)})
+			e.removeConn(c, true)
+			e.dialFailed(c, &DialError{Err: fmt.Errorf("no connection within %v", e.cfg.Router.DialTimeout)})
 		}
 	})
 	return c
 }
 
-func (e *Engine) dialed(c *conn, failure *DialError) {
+func (e *Engine) handleDialed(c *conn, failure *DialError) {
 	if c == nil || c.state != dialing {
 		return
 	}
 	if failure != nil {
-		e.lost(c, false)
-		e.undialed(c, failure)
+		e.removeConn(c, false)
+		e.dialFailed(c, failure)
 		return
 	}
-	c.node.hasRoom()
-	if c.probes {
-		e.become(c, idle)
-		e.askProber(c)
+	c.node.endDialBackoff()
+	if c.isProber {
+		e.setConnState(c, idle)
+		e.sendPoll(c)
 		return
 	}
 	c.node.Up()
@@ -217,94 +219,97 @@
 	e.refill(c.node)
 }
 
-// undialed tells who waited longest at the node that its connection failed.
-func (e *Engine) undialed(c *conn, failure *DialError) {
+// dialFailed handles a failed dial and ends the oldest queued attempt with it, so that the router can retry at
+// another node. If the node is full and the driver has connections there, attempts keep waiting for those.
+func (e *Engine) dialFailed(c *conn, failure *DialError) {
 	n := c.node
 	e.unreached(n, failure.Err.Error())
 	if !failure.Full {
-		e.doubted(n)
+		e.suspectPrimaryAt(n)
 	}
-	e.cmds = append(e.cmds, Command{Kind: CommandLog, Node: n.listed.Name, Text: "connection failed: " + failure.Err.Error()})
+	e.cmds = append(e.cmds, Command{Kind: CommandLog, Node: n.entry.Name, Text: "connection failed: " + failure.Err.Error()})
 	outcome := balance.OutcomeConnectFailed
 	if failure.Full {
 		outcome = balance.OutcomeFull
-		if e.isFull(n); !c.probes && n.open() > 0 {
-			return // what waits, waits for those
+		if e.startDialBackoff(n); !c.isProber && n.open() > 0 {
+			return // queued attempts wait for the open connections
 		}
 	}
-	if c.probes {
+	if c.isProber {
 		e.pollEnded(n, balance.Event{Outcome: outcome})
 		return
 	}
 	if len(n.queue) > 0 {
-		e.ended(n.queue[0], balance.Event{Outcome: outcome})
+		e.endAttempt(n.queue[0], balance.Event{Outcome: outcome})
 	}
 	e.refill(n)
 }
 
-// release makes a connection free: for whoever waits at its node, or idle.
+// release returns a connection to use: for a queued poll, else for the oldest queued attempt, else as idle.
 func (e *Engine) release(c *conn) {
 	n := c.node
-	e.become(c, idle)
+	e.setConnState(c, idle)
 	c.attempt = nil
-	if n.pollWaits {
+	if n.pollQueued {
 		n.Lose(false)
-		e.probeOver(c)
+		e.becomeProber(c)
 		return
 	}
-	if a := e.next(n); a != nil {
+	if a := e.nextQueued(n); a != nil {
 		e.send(c, a)
 		return
 	}
 	c.usedAt = e.now
 	n.Put(c)
-	switch keep := e.idleFor(n); {
+	switch keep := e.idleTimeout(n); {
 	case keep < e.cfg.IdleClose:
-		e.reapAt(c, e.now+keep)
-	case !c.reaped:
-		c.reaped = true
-		e.reapAt(c, e.now+keep)
+		e.scheduleReap(c, e.now+keep)
+	case !c.reapScheduled:
+		c.reapScheduled = true
+		e.scheduleReap(c, e.now+keep)
 	}
 }
 
-// reapAt closes a connection that by then was not used for the idle time, or looks again later.
-func (e *Engine) reapAt(c *conn, at time.Duration) {
+// scheduleReap sets a timer that closes a connection if it has been idle for the idle timeout by then, and checks
+// again later if not.
+func (e *Engine) scheduleReap(c *conn, at time.Duration) {
 	e.timers.Set(at, func(time.Duration) {
-		keep := e.idleFor(c.node)
+		keep := e.idleTimeout(c.node)
 		switch due := c.usedAt + keep; {
 		case c.state == dead:
-		case c.state == idle && e.now >= due && !(c.probes && keep < e.cfg.IdleClose):
-			e.lost(c, true)
+		case c.state == idle && e.now >= due && !(c.isProber && keep < e.cfg.IdleClose):
+			e.removeConn(c, true)
 		case keep == e.cfg.IdleClose:
-			e.reapAt(c, max(due, e.now+e.cfg.IdleClose/4))
-		case !c.reaped:
-			c.reaped = true
-			e.reapAt(c, e.now+e.cfg.IdleClose)
+			e.scheduleReap(c, max(due, e.now+e.cfg.IdleClose/4))
+		case !c.reapScheduled:
+			c.reapScheduled = true
+			e.scheduleReap(c, e.now+e.cfg.IdleClose)
 		}
 	})
 }
 
 func (e *Engine) send(c *conn, a *attempt) {
 	a.node.queue = slices.DeleteFunc(a.node.queue, func(w *attempt) bool { return w == a })
-	e.become(c, busy)
-	e.goes(a, sent)
+	e.setConnState(c, busy)
+	e.setAttemptState(a, sent)
 	a.sentAt = e.now
 	c.attempt, c.sentAt, a.conn = a, e.now, c
-	cmd := Command{Kind: CommandSend, Conn: c.id, Request: a.request.id, Node: a.node.listed.Name, Write: a.request.class.Need == balance.NeedWrite}
+	cmd := Command{Kind: CommandSend, Conn: c.id, Request: a.request.id, Node: a.node.entry.Name, Write: a.request.class.Need == balance.NeedWrite}
 	if cmd.Write {
-		cmd.Guard = e.guard(a)
+		cmd.Guard = e.writeGuard(a)
 	}
 	e.cmds = append(e.cmds, cmd)
 }
 
-// lost takes a connection out of the books, and closes it where that is up to this side.
-func (e *Engine) lost(c *conn, close bool) {
+// removeConn removes a connection from the accounting and closes it if close is set; it is not set if the other
+// side has closed it.
+func (e *Engine) removeConn(c *conn, close bool) {
 	if c.state == dead {
 		return
 	}
 	n := c.node
 	switch {
-	case c.probes:
+	case c.isProber:
 		if n.prober == c {
 			n.prober = nil
 		}
@@ -313,59 +318,60 @@
 	default:
 		n.Lose(c.state == dialing)
 	}
-	e.become(c, dead)
+	e.setConnState(c, dead)
 	delete(e.conns, c.id)
 	if close {
 		e.cmds = append(e.cmds, Command{Kind: CommandClose, Conn: c.id})
 	}
 }
 
-// disconnect closes a node's idle connections.
-func (e *Engine) disconnect(n *node) {
+// closeIdle closes a node's idle connections.
+func (e *Engine) closeIdle(n *node) {
 	if n == nil {
 		return
 	}
 	for _, c := range slices.Clone(n.Idle) {
-		e.lost(c, true)
+		e.removeConn(c, true)
 	}
 }
 
-// timeout ends an attempt that was not answered in time. Its connection can't be used before its answer came.
+// timeout ends an attempt at its time limit. Its connection can't be reused until the reply has come.
 func (e *Engine) timeout(a *attempt) {
 	switch a.state {
 	case waiting:
-		e.ended(a, balance.Event{Outcome: balance.OutcomeConnectFailed})
+		e.endAttempt(a, balance.Event{Outcome: balance.OutcomeConnectFailed})
 	case sent:
-		if !a.opened {
+		if !a.streaming {
 			e.abandon(a)
-			e.ended(a, balance.Event{Outcome: balance.OutcomeTimeout})
+			e.endAttempt(a, balance.Event{Outcome: balance.OutcomeTimeout})
 		}
 	}
 }
 
 func (e *Engine) withdraw(a *attempt) {
-	if a.state == over || a.opened {
+	if a.state == over || a.streaming {
 		return
 	}
 	if a.state == sent {
 		e.abandon(a)
 	}
-	e.ended(a, balance.Event{Outcome: balance.OutcomeCancelled})
+	e.endAttempt(a, balance.Event{Outcome: balance.OutcomeCancelled})
 }
 
-// abandon lets the connection of an attempt linger until its answer came, or its time is up.
+// abandon lets an attempt's connection linger until the reply comes or Config.Linger has passed. If it were
+// reused, the late reply would be taken for that of the next exchange.
 func (e *Engine) abandon(a *attempt) {
 	c := a.conn
 	if c.state != busy {
 		return
 	}
-	e.become(c, lingering)
+	e.setConnState(c, lingering)
 	if e.cfg.CancelWork && a.request.class.Effect == balance.Safe {
 		e.cancel(c)
 	}
 	e.timers.Set(e.now+e.cfg.Linger, func(time.Duration) {
 		if c.state == lingering {
-			e.lost(c, true)
+			e.removeConn(c, true)
 			e.refill(c.node)
 		}
 	})
@@ -378,8 +384,8 @@
 	}
 }
 
-// ended tells the module how an attempt ended, exactly once.
-func (e *Engine) ended(a *attempt, ev balance.Event) {
+// endAttempt reports the outcome of an attempt to the router, exactly once.
+func (e *Engine) endAttempt(a *attempt, ev balance.Event) {
 	if a.state == over {
 		return
 	}
@@ -387,85 +393,86 @@
 		a.node.queue = slices.DeleteFunc(a.node.queue, func(w *attempt) bool { return w == a })
 	}
 	q := a.request
-	a.ran = a.ran || !ev.Outcome.NeverRan()
-	e.goes(a, over)
-	if q.out--; q.out == 0 && !q.done {
+	a.maybeRan = a.maybeRan || !ev.Outcome.NeverRan()
+	e.setAttemptState(a, over)
+	if q.inFlight--; q.inFlight == 0 && !q.done {
 		q.slice.waiting++
 	}
 	ev.Kind, ev.Request, ev.Attempt, ev.Server = balance.EventOutcome, q.id, a.number, a.node.id
-	ev.Age, ev.Settled = e.now-a.began, q.done
-	e.told(a.node, &ev)
-	e.tell(ev)
-	e.forget(q)
+	ev.Age, ev.Settled = e.now-a.startedAt, q.done
+	e.trackReportedPrimary(a.node, &ev)
+	e.notifyRouter(ev)
+	e.queueRemoval(q)
 }
 
-// closed takes note of a connection that went away while nothing was out on it.
-func (e *Engine) closed(c *conn) {
+// handleClosed handles a connection that closed with no exchange in flight.
+func (e *Engine) handleClosed(c *conn) {
 	if c == nil {
 		return
 	}
-	if c.attempt != nil || c.probes && c.state == busy {
-		e.result(c, &Result{End: EndNotSent})
+	if c.attempt != nil || c.isProber && c.state == busy {
+		e.handleResult(c, &Result{End: EndNotSent})
 		return
 	}
-	e.lost(c, false)
-	e.doubted(c.node)
+	e.removeConn(c, false)
+	e.suspectPrimaryAt(c.node)
 }
 
-// asksOfForgotten tells whether the exchange went out before an operator had its slice forgotten, or in that moment.
-func (c *conn) asksOfForgotten() bool {
+// predatesForget reports whether the exchange was sent no later than an operator's last Forget of its slice.
+func (c *conn) predatesForget() bool {
 	forgotten := c.node.slice.forgotten
 	return forgotten > 0 && c.sentAt <= forgotten
 }
 
-// dropForgotten takes out of a result what its node told of a history that an operator had forgotten since: after the
-// restore of a backup it must not count again, its newer term above all.
-func (c *conn) dropForgotten(r *Result) {
-	if c.asksOfForgotten() {
+// dropStaleFacts removes from a result the facts that were asked for before an operator's Forget. After a restore
+// from a backup they describe the old history, whose newer term would fence off the restored primary.
+func (c *conn) dropStaleFacts(r *Result) {
+	if c.predatesForget() {
 		r.Facts, r.After = Facts{}, Facts{}
 	}
 }
 
-// result takes the end of an exchange: a request's or a poll's.
-func (e *Engine) result(c *conn, r *Result) {
+// handleResult handles the end of an exchange, of a request or a poll.
+func (e *Engine) handleResult(c *conn, r *Result) {
 	if c == nil || c.state != busy && c.state != lingering {
 		return
 	}
-	c.dropForgotten(r)
+	c.dropStaleFacts(r)
 	if r.Facts.Known {
-		e.learn(c.node, r.Facts, c.sentAt, c.probes)
+		e.recordFacts(c.node, r.Facts, c.sentAt, c.isProber)
 	}
-	if r.End != EndAnswered || r.Guarded || r.Err != nil && r.Err.Code == stateReadOnly {
-		e.doubted(c.node)
+	if r.End != EndAnswered || r.Guarded || r.Err != nil && r.Err.Code == codeReadOnlyTransaction {
+		e.suspectPrimaryAt(c.node)
 	}
-	if c.probes {
-		e.asked(c, r)
+	if c.isProber {
+		e.pollAnswered(c, r)
 		return
 	}
 	a := c.attempt
 	if r.End != EndAnswered || c.canceled {
-		e.lost(c, r.End == EndAnswered)
+		e.removeConn(c, r.End == EndAnswered)
 		e.refill(c.node)
 	} else {
 		e.release(c)
 	}
 	if a.state == sent {
-		e.settle(a, r, c.sentAt)
+		e.settleAttempt(a, r, c.sentAt)
 	}
 }
 
-// settle ends an attempt by what its node answered, and its request if that answer stands.
-func (e *Engine) settle(a *attempt, r *Result, sentAt time.Duration) {
+// settleAttempt ends an attempt by its result, and its request if the result is the answer. It guards against
+// stale reads: rows from a node that proves to be behind the request's need count as a miss.
+func (e *Engine) settleAttempt(a *attempt, r *Result, sentAt time.Duration) {
 	q, v := a.request, Judge(r)
-	if q.class.Need == balance.NeedWrite && a.node.barred() && (r.Done || v.Outcome == balance.OutcomeCancelled) {
-		v = Verdict{Outcome: balance.OutcomeReset} // it was recalled, or is committed on a history that was left
+	if q.class.Need == balance.NeedWrite && a.node.blocked() && (r.Done || v.Outcome == balance.OutcomeCancelled) {
+		v = Classification{Outcome: balance.OutcomeReset} // its work was revoked at a deposed primary, or committed on an abandoned timeline
 	}
 	ev := balance.Event{Outcome: v.Outcome}
-	e.facts(&ev, q, a.node, r.Facts, sentAt)
-	if v.Answers && r.Err == nil && q.class.Need != balance.NeedWrite && !e.fits(q, a.node, r.Facts, sentAt) {
+	e.addFacts(&ev, q, a.node, r.Facts, sentAt)
+	if v.Answers && r.Err == nil && q.class.Need != balance.NeedWrite && !e.satisfies(q, a.node, r.Facts, sentAt) {
 		ev.Outcome, v.Answers = balance.OutcomeMiss, false
-		if cause := q.hopeless(a.node, r.Facts); cause != CauseNone {
-			e.tell(balance.Event{Kind: balance.EventAborted, Request: q.id})
+		if cause := q.unservable(a.node, r.Facts); cause != CauseNone {
+			e.notifyRouter(balance.Event{Kind: balance.EventAborted, Request: q.id})
 			e.answer(q, Answer{Status: Refused, Cause: cause})
 		}
 	}
@@ -473,73 +480,75 @@
 	case q.done:
 	case v.Answers:
 		e.serve(q, a, r)
-	case a.opened:
-		e.answer(q, Answer{Status: Failed, Cause: CauseCut})
+	case a.streaming:
+		e.answer(q, Answer{Status: Failed, Cause: CauseStreamBroken})
 	}
-	e.ended(a, ev)
+	e.endAttempt(a, ev)
 }
 
-// serve hands the client its answer.
+// serve sends the client the answer and records the session's new position.
 func (e *Engine) serve(q *request, a *attempt, r *Result) {
-	at := q.seen(r)
+	at := q.observedPosition(r)
 	if r.Done && e.cfg.DriverSessions && q.ask.Session != "" {
-		e.sessions.saw(q.ask.Slice, q.ask.Session, at, e.now)
+		e.sessions.observe(q.ask.Slice, q.ask.Session, at, e.now)
 	}
-	e.answer(q, e.answerOf(q, a, r, at))
+	e.answer(q, e.buildAnswer(q, a, r, at))
 }
 
-// seen is a place that covers what an answer shows or did. What its node did not tell is unknown: that asks for the
-// present until a promotion or a read at the primary tells more.
-func (q *request) seen(r *Result) position.Position {
+// observedPosition returns a position that covers what an answer shows or did. If its node did not report one, LSN
+// is position.Unknown: later reads then require the latest position, until a promotion or a read at the primary
+// yields a known one.
+func (q *request) observedPosition(r *Result) position.Position {
 	switch write := q.class.Need == balance.NeedWrite; {
 	case write && r.Facts.Known:
-		return r.Facts.Shows()
+		return r.Facts.UpperBound()
 	case !write && r.After.Known:
-		return r.After.Shows()
+		return r.After.UpperBound()
 	case r.Err != nil:
-		return position.Position{} // the statement's own error: nothing was done, and no row was seen
+		return position.Position{} // the statement failed: it changed nothing and returned no rows
 	}
 	return position.Position{Timeline: max(1, q.slice.clock.Timeline()), LSN: position.Unknown}
 }
 
-func (e *Engine) answerOf(q *request, a *attempt, r *Result, at position.Position) Answer {
+func (e *Engine) buildAnswer(q *request, a *attempt, r *Result, at position.Position) Answer {
 	var holds token.Token
 	if r.Facts.Known && q.class.Need != balance.NeedWrite {
-		holds = holds.With(q.ask.Slice, r.Facts.Holds())
+		holds = holds.With(q.ask.Slice, r.Facts.LowerBound())
 	}
 	switch {
 	case q.need.LSN != position.Unknown:
 		at = at.Join(q.need)
-	case q.class.Need == balance.NeedWrite: // its place covers what was unknown, not what a replica showed
+	case q.class.Need == balance.NeedWrite: // the write's position replaces an unknown one, but not transactions seen at a replica
 		at.Transactions = at.Transactions.Union(q.need.Transactions)
-	} // else the answer covers what was unknown and shown, and its own place says more
-	tok := e.trimmed(q.ask.Token, q.slice)
+	} // else the read showed everything behind the unknown position, and its own position says more
+	tok := e.prunedToken(q.ask.Token, q.slice)
 	if q.ask.Lost {
-		tok = tok.WithPresent() // what was lost may be of any slice; of this one it is settled by this answer
+		tok = tok.WithPresent() // the lost token may be for any slice; for this slice the answer settles it
 	}
-	return Answer{Status: Served, Token: tok.With(q.ask.Slice, at), Holds: holds, Node: a.node.listed.Name,
-		Hall: a.node.listed.Hall, Facts: r.Facts, Payload: r.Payload, Attempts: len(q.attempts)}
+	return Answer{Status: Served, Token: tok.With(q.ask.Slice, at), Holds: holds, Node: a.node.entry.Name,
+		Hall: a.node.entry.Hall, Facts: r.Facts, Payload: r.Payload, Attempts: len(q.attempts)}
 }
 
-// opened settles whether a streamed answer may begin. If not, its connection is closed: the rest of the rows
-// would be of no use, and the attempt ends as a miss.
-func (e *Engine) opened(c *conn, r *Result) {
+// handleStreamStart decides whether a streamed answer may begin. It guards against stale rows: if the node is
+// behind the request's need, the attempt ends as a miss and its connection is closed, as the remaining rows are
+// useless.
+func (e *Engine) handleStreamStart(c *conn, r *Result) {
 	if c == nil || c.state != busy {
 		return
 	}
 	a := c.attempt
 	q := a.request
-	if c.dropForgotten(r); r.Facts.Known {
-		e.learn(c.node, r.Facts, c.sentAt, false)
+	if c.dropStaleFacts(r); r.Facts.Known {
+		e.recordFacts(c.node, r.Facts, c.sentAt, false)
 	}
-	if q.done || !e.fits(q, a.node, r.Facts, c.sentAt) {
+	if q.done || !e.satisfies(q, a.node, r.Facts, c.sentAt) {
 		ev := balance.Event{Outcome: balance.OutcomeMiss}
-		e.facts(&ev, q, a.node, r.Facts, c.sentAt)
-		e.lost(c, true)
-		e.ended(a, ev)
+		e.addFacts(&ev, q, a.node, r.Facts, c.sentAt)
+		e.removeConn(c, true)
+		e.endAttempt(a, ev)
 		return
 	}
-	a.opened = true
-	e.tell(balance.Event{Kind: balance.EventOpened, Request: q.id, Attempt: a.number, Server: a.node.id, Age: e.now - a.began})
-	e.cmds = append(e.cmds, Command{Kind: CommandOpen, Conn: c.id, Request: q.id, Answer: e.answerOf(q, a, r, r.Facts.Position)}) // its token comes at the end
+	a.streaming = true
+	e.notifyRouter(balance.Event{Kind: balance.EventOpened, Request: q.id, Attempt: a.number, Server: a.node.id, Age: e.now - a.startedAt})
+	e.cmds = append(e.cmds, Command{Kind: CommandOpen, Conn: c.id, Request: q.id, Answer: e.buildAnswer(q, a, r, r.Facts.Position)}) // the token comes with the end of the stream
 }
--- a/driver/engine.go
+++ b/driver/engine.go
@@ -16,26 +16,26 @@
 	"umberladder/topology"
 )
 
-// Config is what an engine is told at its start. Times are durations; zero values are errors where a time is
-// needed.
+// Config configures an Engine. New returns an error if PoolSize, MaxOpen, IdleClose, PollTimeout or
+// Router.DialTimeout is not positive, or AnswerMargin is negative.
 type Config struct {
 	Router         balance.Config
-	Halls          []string      // the place of a hall's name is the module's zone
-	DriverSessions bool          // sessions are followed by this driver's own answers, beside tokens
-	SessionBytes   int           // memory for them
-	Sessions       *SessionState // what an earlier life of this driver knew of them, nil for nothing
-	SessionsWhole  bool          // that holds all that the earlier life answered, or there was none
-	MaxOpen        int           // requests held at once
-	PoolSize       int           // connections to one node
+	Halls          []string      // names of availability zones; the index of a name is the router's zone number
+	DriverSessions bool          // track sessions in this driver too, besides the clients' tokens
+	SessionBytes   int           // memory limit for tracked sessions, in bytes
+	Sessions       *SessionState // tracked sessions of an earlier run, nil for none
+	SessionsWhole  bool          // Sessions covers every answer of the earlier run, or there was no earlier run
+	MaxOpen        int           // most requests open at once
+	PoolSize       int           // most connections to one node
 	IdleClose      time.Duration
-	Linger         time.Duration // how long a connection may go on with what nobody awaits
+	Linger         time.Duration // how long a connection stays open for an answer that nobody awaits
 	PollTimeout    time.Duration
-	ClockAge       time.Duration   // a poll of a replica asks the primary too if it was not heard for so long
-	Tokenless      []Tokenless     // by class, what becomes of a session read without its token
-	StartWithin    time.Duration   // a write that its node has not begun by then must not begin; 0 for no bound
-	Topology       *topology.State // what an earlier life of this driver saw, nil for nothing
-	AnswerMargin   time.Duration   // the module's deadline lies so long before the client's
-	CancelWork     bool            // safe work that nobody awaits is ended at the node
+	ClockAge       time.Duration   // a poll of a replica polls the primary too if the primary's position is older than this
+	Tokenless      []Tokenless     // by class: policy for a session read without a token
+	StartWithin    time.Duration   // a write that its node has not started within this time must not start; 0 for no limit
+	Topology       *topology.State // topology of an earlier run, nil for none
+	AnswerMargin   time.Duration   // the router's deadline is earlier than the client's by this much
+	CancelWork     bool            // cancel at the node safe work that nobody awaits
 }
 
 func (c *Config) check() error {
@@ -52,84 +52,89 @@
 	return nil
 }
 
-// Tokenless is what becomes of a session read whose token is not there.
+// Tokenless is the policy for a session read that comes without its token.
 type Tokenless uint8
 
-// The ways to treat it.
+// The policies for a read without its token.
 const (
-	TokenlessAccept  Tokenless = iota // as of a session that wrote nothing
-	TokenlessPrimary                  // it asks for the present
-	TokenlessRefuse
+	TokenlessAccept  Tokenless = iota // treat the session as one without writes
+	TokenlessPrimary                  // require the latest position, as at the primary
+	TokenlessRefuse                   // refuse it with CauseTokenless
 )
 
-// Engine is one driver's state. It is not safe for concurrent use.
+// Engine is the state of one driver. It is not safe for concurrent use. It reads no clock, starts no goroutine and
+// takes its randomness from the seed alone, so that the same events give the same commands.
+//
+// Its decisions are those of a balance.Router, called the router here. The engine translates: requests and results
+// into the router's events, the router's actions into commands, and log positions into times.
 type Engine struct {
-	cfg      Config
-	twins    []int // by class, the module's class for a request of it that carries a token
-	now      time.Duration
-	cmds     []Command
-	rounds   rounds.Rounds // with the module
-	timers   schedule.Timers
-	rng      *rand.Rand
-	life     life
-	requests map[RequestID]*request
-	over     []RequestID // to be forgotten once the module knows
-	held     int         // requests without their final answer
-	nodes    map[balance.ServerID]*node
-	byKey    map[nodeKey]*node
-	conns    map[ConnID]*conn
-	slices   map[string]*slice
-	byToken  map[token.SliceID][]*slice // by what stands for them in tokens; more than one where that is shared
-	sessions *sessions
-	lastConn ConnID
-	until    time.Duration // when what is held must be answered; 0 while not stopping
-	stopped  bool
-}
-
-// slice is one group of a primary and its replicas.
+	cfg          Config
+	tokenClasses []int // by class: index of the router's class for its requests with a token
+	now          time.Duration
+	cmds         []Command
+	rounds       rounds.Rounds // exchanges events and actions with the router
+	timers       schedule.Timers
+	rng          *rand.Rand
+	life         transitions
+	requests     map[RequestID]*request
+	finished     []RequestID // finished requests, removed once the router has been notified
+	held         int         // requests without a final answer
+	nodes        map[balance.ServerID]*node
+	byKey        map[nodeKey]*node
+	conns        map[ConnID]*conn
+	slices       map[string]*slice
+	byToken      map[token.SliceID][]*slice // by token slice ID; several slices where an ID collides
+	sessions     *sessions
+	lastConn     ConnID
+	stopBy       time.Duration // deadline of open requests during shutdown; 0 otherwise
+	stopped      bool
+}
+
+// slice is one group: a primary and its replicas.
 type slice struct {
-	name     string
-	group    int
-	clock    position.Clock
-	topo     *topology.Slice
-	primary  *node // that holds office
-	told     *node // whom the module was last told to be primary
-	doubt    doubt
-	lossTold uint32 // the timeline whose beginning was looked at for what it left out
-	nodes    []*node
-	waiting  int           // requests without final answer and attempt
-	proven   time.Duration // as of when a replica was last proven to have everything
-	// forgotten is when an operator last had everything forgotten that was known of the slice.
+	name            string
+	group           int
+	clock           position.Clock
+	topo            *topology.Slice
+	primary         *node // holds office by the topology ledger; nil if none does
+	reportedPrimary *node // primary last reported to the router
+	suspicion       suspicion
+	lossTimeline    uint32 // timeline whose start was last checked for lost commits
+	nodes           []*node
+	waiting         int           // requests without a final answer and without an attempt in flight
+	provenAsOf      time.Duration // latest time as of which a replica was proven to have all commits
+	// forgotten is when an operator last called Forget for the slice.
 	forgotten time.Duration
 }
 
-// request is one request, kept until it has its final answer and no attempt is out.
+// request is one client request. It is kept until it has its final answer and no attempt is in flight.
 type request struct {
-	id       RequestID
-	ask      Ask
-	class    *balance.Class
-	slice    *slice
-	need     position.Position // what a session read must see; zero for nothing
-	told     position.Position // what its token alone asks for; need may be the present in its place
-	attempts []*attempt
-	out      int
-	done     bool // it has its final answer, or its client left
-}
-
-// New makes an engine that knows no node yet. An unusable Config is an error.
+	id        RequestID
+	ask       Ask
+	class     *balance.Class
+	slice     *slice
+	need      position.Position // position that a read must see; zero for none
+	tokenNeed position.Position // position that the token or session asks for; need may be the latest position instead
+	attempts  []*attempt
+	inFlight  int
+	done      bool // it has its final answer, or its client disconnected
+}
+
+// New returns an engine without nodes; seed determines all its random choices. It returns an error if cfg or
+// cfg.Router is invalid.
 func New(cfg Config, seed uint64) (*Engine, error) {
 	if err := cfg.check(); err != nil {
 		return nil, err
 	}
-	cfg.Router.RouterTokens = false // sessions reach the module as the age of what they must see
-	told, twins := withTwins(cfg.Router)
-	router, err := balance.New(told, seed)
+	cfg.Router.RouterTokens = false // sessions' needs reach the router as ages instead
+	routerConfig, tokenClasses := withTokenClasses(cfg.Router)
+	router, err := balance.New(routerConfig, seed)
 	if err != nil {
 		return nil, err
 	}
-	e := &Engine{cfg: cfg, twins: twins, requests: map[RequestID]*request{}, nodes: map[balance.ServerID]*node{},
+	e := &Engine{cfg: cfg, tokenClasses: tokenClasses, requests: map[RequestID]*request{}, nodes: map[balance.ServerID]*node{},
 		byKey: map[nodeKey]*node{}, conns: map[ConnID]*conn{}, slices: map[string]*slice{}, byToken: map[token.SliceID][]*slice{}, rng: rand.New(rand.NewPCG(seed, 0x746f706f))}
-	e.rounds = rounds.Rounds{Router: router, Timers: &e.timers, Act: e.act, Most: mostRounds, Pause: cfg.Router.Round}
+	e.rounds = rounds.Rounds{Router: router, Timers: &e.timers, Act: e.execute, Most: maxRounds, Pause: cfg.Router.Round}
 	e.sessions = newSessions(cfg.SessionBytes)
 	e.sessions.lift = func(name string, since time.Duration) (position.Position, bool) {
 		s := e.slices[name]
@@ -139,46 +144,48 @@
 		return s.clock.After(since)
 	}
 	e.sessions.passed = func(name string, at position.Position) bool {
-		return e.slices[name] != nil && e.allPassed(e.slices[name], at)
+		return e.slices[name] != nil && e.allReached(e.slices[name], at)
 	}
 	return e, nil
 }
 
-// withTwins adds to the module's classes, for each one whose reads need not see a session's writes, a twin whose
-// reads do: that is how the module hears of a token that comes with such a read.
-func withTwins(cfg balance.Config) (balance.Config, []int) {
+// withTokenClasses adds, for each class whose reads need not see their session's writes, a copy whose reads must.
+// The router has no other way to learn that such a read carries a token, and would send it to replicas that are
+// behind the token.
+func withTokenClasses(cfg balance.Config) (balance.Config, []int) {
 	classes := cfg.Classes
 	cfg.Classes = slices.Clone(classes)
-	twins := make([]int, len(classes))
+	tokenClasses := make([]int, len(classes))
 	for i, c := range classes {
-		twins[i] = i
+		tokenClasses[i] = i
 		if c.Need == balance.NeedBounded || c.Need == balance.NeedAny {
 			c.Need = balance.NeedSession
-			twins[i] = len(cfg.Classes)
+			tokenClasses[i] = len(cfg.Classes)
 			cfg.Classes = append(cfg.Classes, c)
 		}
 	}
-	return cfg, twins
+	return cfg, tokenClasses
 }
 
-// Held is how many requests have no final answer yet.
+// Held returns the number of requests without a final answer.
 func (e *Engine) Held() int { return e.held }
 
-// Conns is how many connections there are, being opened included.
+// Conns returns the number of connections, including those being opened.
 func (e *Engine) Conns() int { return len(e.conns) }
 
-// Wake is when Step wants to be called even if nothing happens, false for never.
+// Wake returns the time of the next timer, at which Step must be called even without events; false if no timer is
+// set.
 func (e *Engine) Wake() (time.Duration, bool) { return e.timers.Next() }
 
-// Step takes what happened since the last call, all at one clock time, and appends the commands in order. The
-// clock must not go back; an earlier time counts as the latest seen. The zero time should lie in the past by
-// more than any time in the configuration.
+// Step handles the events since the last call, all at the time now, and appends the resulting commands to cmds in
+// order. The clock is monotonic: a now before the latest one counts as the latest. Its zero must lie further in
+// the past than any duration in the configuration.
 func (e *Engine) Step(now time.Duration, events []Event, cmds []Command) []Command {
 	return e.step(now, events, cmds, false)
 }
 
-// StepLate is Step for a shell that stood still for a while: what happened meanwhile is taken before timers make
-// something of the time, so that an answer that came counts as an answer.
+// StepLate is Step for an I/O layer that was stalled: it handles the events before expired timers, so that an
+// answer that arrived during the stall is not taken for a time-out.
 func (e *Engine) StepLate(now time.Duration, events []Event, cmds []Command) []Command {
 	return e.step(now, events, cmds, true)
 }
@@ -193,14 +200,14 @@
 		e.timers.Run(e.now)
 	}
 	for i := range events {
-		e.take(&events[i])
+		e.handle(&events[i])
 	}
 	if late {
 		e.timers.Run(e.now)
 	}
 	e.rounds.Settle(e.now)
-	e.forgetOver()
-	if e.until > 0 && !e.stopped && e.held == 0 {
+	e.removeFinished()
+	if e.stopBy > 0 && !e.stopped && e.held == 0 {
 		e.stopped = true
 		e.cmds = append(e.cmds, Command{Kind: CommandStopped})
 	}
@@ -208,34 +215,34 @@
 	return cmds
 }
 
-func (e *Engine) take(ev *Event) {
+func (e *Engine) handle(ev *Event) {
 	switch ev.Kind {
 	case EventRequest:
-		e.request(ev)
+		e.handleRequest(ev)
 	case EventLeft:
-		e.left(ev.Request)
+		e.handleClientLeft(ev.Request)
 	case EventDialed:
-		e.dialed(e.conns[ev.Conn], ev.Dial)
+		e.handleDialed(e.conns[ev.Conn], ev.Dial)
 	case EventResult:
-		e.result(e.conns[ev.Conn], &ev.Result)
+		e.handleResult(e.conns[ev.Conn], &ev.Result)
 	case EventOpened:
-		e.opened(e.conns[ev.Conn], &ev.Result)
+		e.handleStreamStart(e.conns[ev.Conn], &ev.Result)
 	case EventClosed:
-		e.closed(e.conns[ev.Conn])
+		e.handleClosed(e.conns[ev.Conn])
 	case EventList:
-		e.list(ev)
+		e.handleList(ev)
 	case EventStop:
-		e.stop(ev.Until)
+		e.handleStop(ev.Until)
 	}
 }
 
-// mostRounds bounds how often the module is asked again about what its own actions led to at once.
-const mostRounds = 64
+// maxRounds bounds the exchanges with the router at one time, as its actions can cause events at once.
+const maxRounds = 64
 
-func (e *Engine) act(a *balance.Action) {
+func (e *Engine) execute(a *balance.Action) {
 	switch a.Kind {
 	case balance.ActionTry:
-		e.try(e.requests[a.Request], a)
+		e.startAttempt(e.requests[a.Request], a)
 	case balance.ActionWithdraw:
 		if q := e.requests[a.Request]; q != nil && a.Attempt < len(q.attempts) {
 			e.withdraw(q.attempts[a.Attempt])
@@ -249,53 +256,55 @@
 	case balance.ActionSubscribe:
 		e.cmds = append(e.cmds, Command{Kind: CommandSubscribe})
 	case balance.ActionDisconnect:
-		e.disconnect(e.nodes[a.Server])
+		e.closeIdle(e.nodes[a.Server])
 	case balance.ActionLog:
-		e.cmds = append(e.cmds, Command{Kind: CommandLog, Text: e.named(a.Text)})
+		e.cmds = append(e.cmds, Command{Kind: CommandLog, Text: e.withNodeNames(a.Text)})
 	}
 }
 
-func (e *Engine) tell(ev balance.Event) { e.rounds.Tell(ev) }
+func (e *Engine) notifyRouter(ev balance.Event) { e.rounds.Tell(ev) }
 
-func (e *Engine) request(ev *Event) {
+func (e *Engine) handleRequest(ev *Event) {
 	if e.requests[ev.Request] != nil {
 		return
 	}
-	if cause := e.refuses(&ev.Ask); cause != CauseNone {
+	if cause := e.rejectCause(&ev.Ask); cause != CauseNone {
 		e.cmds = append(e.cmds, Command{Kind: CommandAnswer, Request: ev.Request, Answer: Answer{Status: Refused, Cause: cause}})
 		return
 	}
 	q := &request{id: ev.Request, ask: ev.Ask, class: &e.cfg.Router.Classes[ev.Ask.Class], slice: e.slices[ev.Ask.Slice]}
-	if cause := e.needs(q); cause != CauseNone {
+	if cause := e.resolveNeed(q); cause != CauseNone {
 		e.cmds = append(e.cmds, Command{Kind: CommandAnswer, Request: ev.Request, Answer: Answer{Status: Refused, Cause: cause}})
 		return
 	}
 	e.requests[q.id] = q
 	e.held++
 	q.slice.waiting++
-	class, since := q.ask.Class, e.since(q)
-	if since > 0 && e.twins[class] != class {
+	class, sinceWrite := q.ask.Class, e.sinceWrite(q)
+	if sinceWrite > 0 && e.tokenClasses[class] != class {
 		if q.class.Need == balance.NeedBounded {
-			since = min(since, q.class.Bound)
+			sinceWrite = min(sinceWrite, q.class.Bound)
 		}
-		class = e.twins[class]
+		class = e.tokenClasses[class]
 	}
-	e.tell(balance.Event{Kind: balance.EventRequest, Request: q.id, Class: class, Group: q.slice.group,
-		Key: xxhash.Sum64String(q.ask.Session), Deadline: q.ask.Deadline - e.cfg.AnswerMargin, SinceWrite: since})
+	e.notifyRouter(balance.Event{Kind: balance.EventRequest, Request: q.id, Class: class, Group: q.slice.group,
+		Key: xxhash.Sum64String(q.ask.Session), Deadline: q.ask.Deadline - e.cfg.AnswerMargin, SinceWrite: sinceWrite})
 }
 
-// needs settles what a read must see, and why a request can't be taken if its token stands in the way.
-func (e *Engine) needs(q *request) Cause {
-	if e.foreign(q.ask.Token) {
+// resolveNeed sets the position that a read must see. It returns a cause if the token rules out serving the
+// request: a foreign token, a missing one, or one for a write that a promotion lost. It guards against reads that do
+// not see their session's writes.
+func (e *Engine) resolveNeed(q *request) Cause {
+	if e.isForeign(q.ask.Token) {
 		return CauseForeign
 	}
-	need, told := q.ask.Token.At(q.ask.Slice)
+	need, named := q.ask.Token.At(q.ask.Slice)
 	if e.cfg.DriverSessions && q.ask.Session != "" {
-		at := e.sessions.needs(q.ask.Slice, q.ask.Session)
-		need, told = need.Join(at), told || !at.IsZero()
+		at := e.sessions.required(q.ask.Slice, q.ask.Session)
+		need, named = need.Join(at), named || !at.IsZero()
 	}
 	asked := need
-	if q.class.Need == balance.NeedSession && (!told || q.ask.Lost) {
+	if q.class.Need == balance.NeedSession && (!named || q.ask.Lost) {
 		switch policy := e.tokenless(q.ask.Class); {
 		case policy == TokenlessRefuse:
 			return CauseTokenless
@@ -306,7 +315,7 @@
 	if q.class.Need != balance.NeedWrite && q.slice.clock.Lost(asked) {
 		return CauseTokenLost
 	}
-	q.need, q.told = need, asked
+	q.need, q.tokenNeed = need, asked
 	return CauseNone
 }
 
@@ -317,64 +326,69 @@
 	return TokenlessAccept
 }
 
-// foreign tells whether a token names slices, and none of this driver's.
-func (e *Engine) foreign(t token.Token) bool {
+// isForeign reports whether a token names slices, but none that this driver knows.
+func (e *Engine) isForeign(t token.Token) bool {
 	ids := t.Slices()
 	return len(ids) > 0 && !slices.ContainsFunc(ids, func(id token.SliceID) bool { return len(e.byToken[id]) > 0 })
 }
 
-// hopeless tells why a read can never be served, by what the slice's primary told after the request came: its
-// token is ahead of the whole history, or stands for what a promotion left out.
-func (q *request) hopeless(n *node, f Facts) Cause {
+// unservable returns why a read can never be served, by what its slice's primary reported after the request came:
+// its token is ahead of the whole log, or stands for a write that a promotion lost. Without this check such a read
+// would be retried until its deadline.
+func (q *request) unservable(n *node, f Facts) Cause {
 	switch {
-	case q.done || !f.Known || f.Replica || q.told.LSN == position.Unknown || n.deposed(f):
+	case q.done || !f.Known || f.Replica || q.tokenNeed.LSN == position.Unknown || n.deposed(f):
 		return CauseNone
-	case q.slice.clock.Lost(q.told):
+	case q.slice.clock.Lost(q.tokenNeed):
 		return CauseTokenLost
-	case f.Position.Timeline == q.told.Timeline && f.Position.LSN < q.told.LSN:
+	case f.Position.Timeline == q.tokenNeed.Timeline && f.Position.LSN < q.tokenNeed.LSN:
 		return CauseTokenAhead
 	}
 	return CauseNone
 }
 
-// longPassed is how long ago a place must have been committed to be dropped from tokens.
-const longPassed = time.Minute
+// minPruneAge is how long ago a position must have been committed before it is dropped from tokens.
+const minPruneAge = time.Minute
 
-// trimmed is a token without the places of other slices that every member there has long passed.
-func (e *Engine) trimmed(t token.Token, except *slice) token.Token {
+// prunedToken drops from a token the positions of other slices that all nodes there passed long ago. Otherwise
+// tokens would grow with every slice a client has used.
+func (e *Engine) prunedToken(t token.Token, except *slice) token.Token {
 	if len(t.Slices()) < 2 {
 		return t
 	}
 	for _, id := range t.Slices() {
-		if all := e.byToken[id]; len(all) == 1 && all[0] != except && e.longPassed(all[0], t.Place(id)) {
+		if all := e.byToken[id]; len(all) == 1 && all[0] != except && e.prunable(all[0], t.Place(id)) {
 			t = t.With(all[0].name, position.Position{})
 		}
 	}
 	return t
 }
 
-func (e *Engine) longPassed(s *slice, at position.Position) bool {
+// prunable reports whether a position is old and all nodes have passed it. If it were dropped earlier, a replica that
+// lags could serve a stale read.
+func (e *Engine) prunable(s *slice, at position.Position) bool {
 	if at.LSN == position.Unknown || at.Timeline != s.clock.Timeline() {
 		return false
 	}
 	by, ok := s.clock.CommittedBy(at)
-	return ok && e.now-by > longPassed && e.allPassed(s, at)
+	return ok && e.now-by > minPruneAge && e.allReached(s, at)
 }
 
-// allPassed tells whether every member of a slice that isn't gone was heard at or beyond a place.
-func (e *Engine) allPassed(s *slice, at position.Position) bool {
+// allReached reports whether every listed node of a slice has reported a position at or beyond at.
+func (e *Engine) allReached(s *slice, at position.Position) bool {
 	for _, n := range s.nodes {
-		if n.listed.Life != balance.LifeGone && (!n.facts.Known || !covers(n.facts, at)) {
+		if n.entry.Life != balance.LifeGone && (!n.facts.Known || !covers(n.facts, at)) {
 			return false
 		}
 	}
 	return true
 }
 
-// refuses tells why a request is not taken at all, CauseNone if it is.
-func (e *Engine) refuses(a *Ask) Cause {
+// rejectCause returns why a request is not accepted, CauseNone if it is: shutdown, an unknown class or slice, or
+// more than Config.MaxOpen open requests.
+func (e *Engine) rejectCause(a *Ask) Cause {
 	switch {
-	case e.until > 0:
+	case e.stopBy > 0:
 		return CauseStopping
 	case a.Class < 0 || a.Class >= len(e.cfg.Router.Classes):
 		return CauseClass
@@ -386,30 +400,31 @@
 	return CauseNone
 }
 
-// since is how long ago a member must have been proven to have what a session read must see, by the module's
-// measure; 0 if it must see nothing.
-func (e *Engine) since(q *request) time.Duration {
+// sinceWrite returns the router's measure of a read's need: the age of the newest write the read must see; 0 if it
+// need not see any.
+func (e *Engine) sinceWrite(q *request) time.Duration {
 	if q.need.IsZero() {
 		return 0
 	}
 	by, ok := q.slice.clock.ReachedBy(q.need)
 	if !ok {
-		return 1 // the present
+		return 1 // the position is not on the clock yet: require the latest
 	}
 	return max(1, e.now-by)
 }
 
-// left ends a request whose client is gone. What is out stays out, its connection busy, until it ends.
-func (e *Engine) left(id RequestID) {
+// handleClientLeft ends a request whose client disconnected. Exchanges in flight stay so, and their connections
+// busy, until they end.
+func (e *Engine) handleClientLeft(id RequestID) {
 	q := e.requests[id]
 	if q == nil || q.done {
 		return
 	}
-	e.tell(balance.Event{Kind: balance.EventAborted, Request: id})
+	e.notifyRouter(balance.Event{Kind: balance.EventAborted, Request: id})
 	e.finish(q)
 }
 
-// answer gives the final answer, if none was given.
+// answer sends the final answer unless one was sent.
 func (e *Engine) answer(q *request, a Answer) {
 	if q == nil || q.done {
 		return
@@ -419,9 +434,9 @@
 	e.finish(q)
 }
 
-// finish marks a request as over: what has not been sent for it never will be.
+// finish marks a request as done. What has not been sent for it will not be sent.
 func (e *Engine) finish(q *request) {
-	if q.out == 0 {
+	if q.inFlight == 0 {
 		q.slice.waiting--
 	}
 	q.done = true
@@ -429,45 +444,46 @@
 	for _, a := range q.attempts {
 		switch {
 		case a.state == waiting:
-			e.ended(a, balance.Event{Outcome: balance.OutcomeMoot})
-		case a.state != sent || !a.holds():
-		case a.opened:
-			e.lost(a.conn, true) // its rows would wait for a reader that is gone
-			e.ended(a, balance.Event{Outcome: balance.OutcomeCancelled})
+			e.endAttempt(a, balance.Event{Outcome: balance.OutcomeMoot})
+		case a.state != sent || !a.ownsConn():
+		case a.streaming:
+			e.removeConn(a.conn, true) // its rows have no reader
+			e.endAttempt(a, balance.Event{Outcome: balance.OutcomeCancelled})
 		case e.cfg.CancelWork && q.class.Effect == balance.Safe:
 			e.cancel(a.conn)
 		}
 	}
-	e.forget(q)
+	e.queueRemoval(q)
 }
 
-// forget drops a request that is over, once the module knows that it is: until then it may still send it, and must hear
-// what became of that.
-func (e *Engine) forget(q *request) {
-	if q.done && q.out == 0 {
-		e.over = append(e.over, q.id)
+// queueRemoval schedules the removal of a finished request for the end of the step. Until the router knows that
+// the request is over it may still start an attempt, and must be notified of that attempt's outcome.
+func (e *Engine) queueRemoval(q *request) {
+	if q.done && q.inFlight == 0 {
+		e.finished = append(e.finished, q.id)
 	}
 }
 
-func (e *Engine) forgetOver() {
-	for _, id := range e.over {
-		if q := e.requests[id]; q != nil && q.done && q.out == 0 {
+func (e *Engine) removeFinished() {
+	for _, id := range e.finished {
+		if q := e.requests[id]; q != nil && q.done && q.inFlight == 0 {
 			delete(e.requests, id)
 		}
 	}
-	e.over = e.over[:0]
+	e.finished = e.finished[:0]
 }
 
-func (e *Engine) stop(until time.Duration) {
-	if e.until > 0 {
+func (e *Engine) handleStop(until time.Duration) {
+	if e.stopBy > 0 {
 		return
 	}
-	e.until = max(until, 1)
-	e.timers.Set(until, func(time.Duration) { e.giveUp() })
+	e.stopBy = max(until, 1)
+	e.timers.Set(until, func(time.Duration) { e.answerRemaining() })
 }
 
-// giveUp answers what is still held when the time to stop is up.
-func (e *Engine) giveUp() {
+// answerRemaining answers all open requests at the shutdown deadline. One that may have run fails unless its class
+// is safe; the others are refused.
+func (e *Engine) answerRemaining() {
 	ids := make([]RequestID, 0, len(e.requests))
 	for id := range e.requests {
 		ids = append(ids, id)
@@ -482,59 +498,60 @@
 		if q.class.Effect != balance.Safe && slices.ContainsFunc(q.attempts, (*attempt).mayHaveRun) {
 			a = Answer{Status: Failed, Cause: CauseStopping}
 		}
-		e.tell(balance.Event{Kind: balance.EventAborted, Request: id})
+		e.notifyRouter(balance.Event{Kind: balance.EventAborted, Request: id})
 		e.answer(q, a)
 	}
 }
 
-func (e *Engine) list(ev *Event) {
+func (e *Engine) handleList(ev *Event) {
 	if ev.List == balance.ListFailed {
-		e.tell(balance.Event{Kind: balance.EventList, List: balance.ListFailed})
+		e.notifyRouter(balance.Event{Kind: balance.EventList, List: balance.ListFailed})
 		return
 	}
 	entries := make([]balance.Entry, 0, len(ev.Nodes))
 	seen := map[balance.ServerID]bool{}
 	for _, n := range ev.Nodes {
-		known := e.nodeOf(n)
+		known := e.findOrAddNode(n)
 		seen[known.id] = true
-		if known.listed = n; n.Life == balance.LifeReady {
-			known.leaves = 0
-		} else if known.leaves == 0 {
-			known.leaves = e.now
+		if known.entry = n; n.Life == balance.LifeReady {
+			known.leavingSince = 0
+		} else if known.leavingSince == 0 {
+			known.leavingSince = e.now
 		}
 		entries = append(entries, balance.Entry{Server: known.id, Group: known.slice.group,
 			Zone: max(0, slices.Index(e.cfg.Halls, n.Hall)), Life: n.Life, Started: n.Started})
 	}
 	for _, n := range e.nodes {
 		if ev.List != balance.ListDelta && !seen[n.id] {
-			n.listed.Life = balance.LifeGone
-			if n.leaves == 0 && !e.cfg.Router.SoftRemoval {
-				n.leaves = e.now
+			n.entry.Life = balance.LifeGone
+			if n.leavingSince == 0 && !e.cfg.Router.SoftRemoval {
+				n.leavingSince = e.now
 			}
 		}
 	}
-	e.leave()
-	e.tell(balance.Event{Kind: balance.EventList, List: ev.List, Entries: entries})
+	e.closeRemoved()
+	e.notifyRouter(balance.Event{Kind: balance.EventList, List: ev.List, Entries: entries})
 }
 
-// leave closes the unused connections to nodes that are gone, where lacking in a list means that.
-func (e *Engine) leave() {
+// closeRemoved closes the idle connections to nodes that are no longer listed, unless Router.SoftRemoval keeps
+// such nodes. Otherwise their file descriptors would stay in use for Config.IdleClose.
+func (e *Engine) closeRemoved() {
 	if e.cfg.Router.SoftRemoval {
 		return
 	}
-	for _, n := range e.listed() {
-		if n.listed.Life != balance.LifeGone {
+	for _, n := range e.nodesInOrder() {
+		if n.entry.Life != balance.LifeGone {
 			continue
 		}
-		e.disconnect(n)
+		e.closeIdle(n)
 		if c := n.prober; c != nil && c.state == idle {
-			e.lost(c, true)
+			e.removeConn(c, true)
 		}
 	}
 }
 
-// listed is every node there has been, in order of first mention.
-func (e *Engine) listed() []*node {
+// nodesInOrder returns all nodes ever listed, in order of first appearance.
+func (e *Engine) nodesInOrder() []*node {
 	nodes := make([]*node, len(e.nodes))
 	for id, n := range e.nodes {
 		nodes[id-1] = n
--- a/driver/engine_test.go
+++ b/driver/engine_test.go
@@ -11,8 +11,8 @@
 )
 
 func TestOrdinaryPath(t *testing.T) {
-	r := newRig(t, testConfig(), fleetFacts())
-	w := r.ask(classWrite, token.Token{})
+	r := newHarness(t, testConfig(), fleetFacts())
+	w := r.request(classWrite, token.Token{})
 	c := r.sent(w)
 	if c.Node != "p" || !c.Write {
 		t.Fatalf("the write went to %s, write %v", c.Node, c.Write)
@@ -23,40 +23,41 @@
 	if got, _ := a.Token.At("news"); a.Status != Served || got != at(1, 1100) {
 		t.Fatalf("answer %+v with token for %v", a, got)
 	}
-	read := r.ask(classArticle, token.Token{})
+	read := r.request(classArticle, token.Token{})
 	if c := r.sent(read); c.Node == "p" {
-		t.Error("an article-read went to the primary though replicas are as new")
+		t.Error("an article-read went to the primary though replicas are as recent")
 	} else {
 		r.reply(c)
 	}
 	if r.answer(read).Status != Served {
 		t.Error("the read was not served")
 	}
-	r.quiet()
+	r.checkIdle()
 }
 
-// TestTokenNewerThanEveryReplica: it goes to the primary, or to a replica once that is proven to have it.
+// TestTokenNewerThanEveryReplica: a read with such a token goes to the primary, or to a replica once that is
+// proven to have the position.
 func TestTokenNewerThanEveryReplica(t *testing.T) {
-	r := newRig(t, testConfig(), fleetFacts())
+	r := newHarness(t, testConfig(), fleetFacts())
 	tok := token.Token{}.With("news", at(1, 1500))
 	r.nodes["p"].facts = primary(at(1, 1500))
-	id := r.ask(classOwn, tok)
+	id := r.request(classOwn, tok)
 	r.run(30 * ms)
 	c := r.sent(id)
 	if c.Node != "p" {
-		t.Fatalf("it went to %s, which stands at 1000", c.Node)
+		t.Fatalf("it went to %s, which is at 1000", c.Node)
 	}
 	r.reply(c)
 	if got, _ := r.answer(id).Token.At("news"); got != at(1, 1500) {
 		t.Errorf("token for %v", got)
 	}
-	r.quiet()
+	r.checkIdle()
 }
 
-// TestTokenFromTheFuture: a token that nobody has is never served stale.
-func TestTokenFromTheFuture(t *testing.T) {
-	r := newRig(t, testConfig(), fleetFacts())
-	id := r.ask(classOwn, token.Token{}.With("news", at(1, 99999)))
+// TestTokenAheadOfEveryNode: a read whose token no node has reached must not be served stale.
+func TestTokenAheadOfEveryNode(t *testing.T) {
+	r := newHarness(t, testConfig(), fleetFacts())
+	id := r.request(classOwn, token.Token{}.With("news", at(1, 99999)))
 	for range 40 {
 		for _, c := range append([]Command(nil), r.sends...) {
 			r.reply(r.sent(c.Request))
@@ -66,21 +67,21 @@
 	if a := r.answer(id); a.Status == Served {
 		t.Fatalf("served: %+v", a)
 	}
-	r.quiet()
+	r.checkIdle()
 }
 
-// TestCommitWithoutPosition: the commit's answer came, its position's did not. It is served, and its token
-// asks for the present until more is known.
+// TestCommitWithoutPosition: the connection broke after the commit was answered and before its position. The write
+// is served, and its token requires the latest position until a known one replaces it.
 func TestCommitWithoutPosition(t *testing.T) {
-	r := newRig(t, testConfig(), fleetFacts())
-	w := r.ask(classWrite, token.Token{})
+	r := newHarness(t, testConfig(), fleetFacts())
+	w := r.request(classWrite, token.Token{})
 	r.result(r.sent(w), Result{End: EndBroken, Began: true, Done: true})
 	a := r.answer(w)
 	got, _ := a.Token.At("news")
 	if a.Status != Served || got.LSN != position.Unknown {
 		t.Fatalf("answer %+v, token for %v", a, got)
 	}
-	id := r.ask(classOwn, a.Token)
+	id := r.request(classOwn, a.Token)
 	r.run(30 * ms)
 	c := r.sent(id)
 	if c.Node != "p" {
@@ -91,42 +92,42 @@
 	if got, _ := r.answer(id).Token.At("news"); got != at(1, 1200) {
 		t.Errorf("the token still asks for %v", got)
 	}
-	r.quiet()
+	r.checkIdle()
 }
 
-// TestWriteCutAfterItsLastByte: it may have run, so it fails and never goes out again.
-func TestWriteCutAfterItsLastByte(t *testing.T) {
+// TestWriteDisconnectedAfterSend: the write may have run, so it fails and is not resent.
+func TestWriteDisconnectedAfterSend(t *testing.T) {
 	for _, res := range []Result{broken(false, ""), broken(true, ""), broken(true, "57P01")} {
-		r := newRig(t, testConfig(), fleetFacts())
-		w := r.ask(classWrite, token.Token{})
+		r := newHarness(t, testConfig(), fleetFacts())
+		w := r.request(classWrite, token.Token{})
 		r.result(r.sent(w), res)
 		r.run(3 * time.Second)
 		if a := r.answer(w); a.Status != Failed || a.Attempts != 1 {
 			t.Errorf("%+v: answer %+v", res, a)
 		}
-		r.quiet()
+		r.checkIdle()
 	}
 }
 
-// TestWriteThatNeverRanGoesAgain: a proof that nothing ran lets the same write go out again.
-func TestWriteThatNeverRanGoesAgain(t *testing.T) {
+// TestWriteThatNeverRanIsResent: with evidence that nothing ran, even an unsafe write is resent.
+func TestWriteThatNeverRanIsResent(t *testing.T) {
 	for _, res := range []Result{broken(false, "57P01"), {End: EndNotSent}} {
-		r := newRig(t, testConfig(), fleetFacts())
-		w := r.ask(classWrite, token.Token{})
+		r := newHarness(t, testConfig(), fleetFacts())
+		w := r.request(classWrite, token.Token{})
 		r.result(r.sent(w), res)
 		r.run(300 * ms)
 		r.reply(r.sent(w))
 		if a := r.answer(w); a.Status != Served || a.Attempts != 2 {
 			t.Errorf("%+v: answer %+v", res, a)
 		}
-		r.quiet()
+		r.checkIdle()
 	}
 }
 
-// TestReplyAfterTimeout: the client had its answer; the late reply changes nothing but frees the connection.
+// TestReplyAfterTimeout: the client has its answer; the late reply only makes the connection idle.
 func TestReplyAfterTimeout(t *testing.T) {
-	r := newRig(t, testConfig(), fleetFacts())
-	w := r.ask(classWrite, token.Token{})
+	r := newHarness(t, testConfig(), fleetFacts())
+	w := r.request(classWrite, token.Token{})
 	c := r.sent(w)
 	r.run(2100 * ms)
 	if a := r.answer(w); a.Status != Failed {
@@ -140,29 +141,29 @@
 		t.Errorf("%d connections idle after the reply", n)
 	}
 	r.answer(w)
-	r.quiet()
+	r.checkIdle()
 }
 
 // TestLingerEnds: a connection whose reply never comes is closed.
 func TestLingerEnds(t *testing.T) {
-	r := newRig(t, testConfig(), fleetFacts())
-	w := r.ask(classWrite, token.Token{})
+	r := newHarness(t, testConfig(), fleetFacts())
+	w := r.request(classWrite, token.Token{})
 	c := r.sent(w)
 	r.run(8 * time.Second)
 	if !r.closed[c.Conn] {
-		t.Error("the shell was not told to close it")
+		t.Error("no command to close it")
 	}
 	if n := r.e.byKey[nodeKey{"p", "p:1", "news", 0}].Busy; n != 0 {
 		t.Errorf("%d connections still busy", n)
 	}
-	r.quiet()
+	r.checkIdle()
 }
 
-// TestClientLeavesInMidAttempt: no answer goes out, nothing is sent after, the connection is used again only
-// once its reply came.
+// TestClientLeavesInMidAttempt: no answer is sent, nothing more is sent to nodes, and the connection is reused
+// only after its reply.
 func TestClientLeavesInMidAttempt(t *testing.T) {
-	r := newRig(t, testConfig(), fleetFacts())
-	w := r.ask(classWrite, token.Token{})
+	r := newHarness(t, testConfig(), fleetFacts())
+	w := r.request(classWrite, token.Token{})
 	c := r.sent(w)
 	r.step(Event{Kind: EventLeft, Request: w})
 	if r.e.Held() != 0 {
@@ -172,29 +173,29 @@
 	if len(r.answers[w]) != 0 {
 		t.Errorf("answers %+v", r.answers[w])
 	}
-	r.quiet()
+	r.checkIdle()
 }
 
-// TestClientLeavesAsItComes: request and leaving are one step. The module sends it before it hears of the leaving, and
-// must hear what became of that.
-func TestClientLeavesAsItComes(t *testing.T) {
-	r := newRig(t, testConfig(), fleetFacts())
+// TestClientLeavesInTheStepOfItsRequest: the router starts an attempt before it learns that the client
+// disconnected, and must be notified of the attempt's outcome.
+func TestClientLeavesInTheStepOfItsRequest(t *testing.T) {
+	r := newHarness(t, testConfig(), fleetFacts())
 	r.lastReq++
 	r.step(Event{Kind: EventRequest, Request: r.lastReq, Ask: Ask{Class: classWrite, Slice: "news", Session: "s",
 		Deadline: r.now + time.Second}}, Event{Kind: EventLeft, Request: r.lastReq})
 	for _, v := range r.e.rounds.Router.Views(nil) {
 		if v.Out != 0 {
-			t.Errorf("the module believes that node %d has %d requests", v.Server, v.Out)
+			t.Errorf("the router counts requests at node %d: %d", v.Server, v.Out)
 		}
 	}
-	r.quiet()
+	r.checkIdle()
 }
 
-// TestClientLeavesWhileDialing: the connection comes up later and must not carry the request.
+// TestClientLeavesWhileDialing: the connection opens later and must not carry the request.
 func TestClientLeavesWhileDialing(t *testing.T) {
-	r := newRig(t, testConfig(), fleetFacts())
-	r.nodes["p"].deaf = true
-	w := r.ask(classWrite, token.Token{})
+	r := newHarness(t, testConfig(), fleetFacts())
+	r.nodes["p"].unreachable = true
+	w := r.request(classWrite, token.Token{})
 	var dial Command
 	for id, name := range r.connAt {
 		if name == "p" && r.e.conns[id] != nil && r.e.conns[id].state == dialing {
@@ -206,15 +207,15 @@
 	if r.isSent(w) {
 		t.Error("it was sent after its client left")
 	}
-	r.quiet()
+	r.checkIdle()
 }
 
-// TestIdleConnectionDies: an exchange given to a connection that had just closed was not sent.
-func TestIdleConnectionDies(t *testing.T) {
-	r := newRig(t, testConfig(), fleetFacts())
-	first := r.ask(classWrite, token.Token{})
+// TestIdleConnectionCloses: an exchange assigned to a connection that had just closed counts as not sent.
+func TestIdleConnectionCloses(t *testing.T) {
+	r := newHarness(t, testConfig(), fleetFacts())
+	first := r.request(classWrite, token.Token{})
 	r.reply(r.sent(first))
-	second := r.ask(classWrite, token.Token{})
+	second := r.request(classWrite, token.Token{})
 	c := r.sent(second)
 	r.step(Event{Kind: EventClosed, Conn: c.Conn})
 	r.run(300 * ms)
@@ -222,17 +223,17 @@
 	if a := r.answer(second); a.Status != Served {
 		t.Errorf("answer %+v", a)
 	}
-	r.quiet()
+	r.checkIdle()
 }
 
-// TestSupersededPrimary: one that answers as primary on a timeline that was left gets nothing more.
+// TestSupersededPrimary: a node that reports itself as primary of an abandoned timeline gets no requests.
 func TestSupersededPrimary(t *testing.T) {
-	r := newRig(t, testConfig(), fleetFacts())
+	r := newHarness(t, testConfig(), fleetFacts())
 	r.nodes["r1"].facts = primary(at(2, 1010))
 	r.nodes["r2"].facts = replica(at(2, 1010))
 	r.run(2 * time.Second)
 	for range 20 {
-		w := r.ask(classWrite, token.Token{})
+		w := r.request(classWrite, token.Token{})
 		c := r.sent(w)
 		if c.Node != "r1" {
 			t.Fatalf("a write went to %s", c.Node)
@@ -240,13 +241,14 @@
 		r.reply(c)
 		r.run(50 * ms)
 	}
-	r.quiet()
+	r.checkIdle()
 }
 
-// TestSupersededAnswerIsNotHandedOut: a read that was out at the old primary when the new one was heard.
-func TestSupersededAnswerIsNotHandedOut(t *testing.T) {
-	r := newRig(t, testConfig(), fleetFacts())
-	id := r.ask(classDesk, token.Token{})
+// TestSupersededAnswerIsNotServed: a read is in flight at the old primary when the new one is detected; its answer
+// must not be served.
+func TestSupersededAnswerIsNotServed(t *testing.T) {
+	r := newHarness(t, testConfig(), fleetFacts())
+	id := r.request(classDesk, token.Token{})
 	c := r.sent(id)
 	r.nodes["r1"].facts = primary(at(2, 1010))
 	r.run(400 * ms)
@@ -261,14 +263,14 @@
 			t.Error("served from the old primary")
 		}
 	}
-	r.quiet()
+	r.checkIdle()
 }
 
-// TestStaleAnswerIsNotHandedOut: a replica was proven new and answers with older data, as after it was
-// replaced by a copy.
-func TestStaleAnswerIsNotHandedOut(t *testing.T) {
-	r := newRig(t, testConfig(), fleetFacts())
-	id := r.ask(classArticle, token.Token{})
+// TestStaleAnswerIsNotServed: a replica that was proven recent answers with older data, as after it was replaced
+// by an older copy.
+func TestStaleAnswerIsNotServed(t *testing.T) {
+	r := newHarness(t, testConfig(), fleetFacts())
+	id := r.request(classArticle, token.Token{})
 	c := r.sent(id)
 	r.result(c, Result{Began: true, Done: true, Facts: replica(at(1, 10))})
 	if len(r.answers[id]) > 0 && r.answers[id][0].Status == Served {
@@ -283,15 +285,16 @@
 	if r.answer(id).Status != Served {
 		t.Error("the second answer was not served")
 	}
-	r.quiet()
+	r.checkIdle()
 }
 
-// TestStop: nothing new, what is held is answered, and the engine says when it is done.
+// TestStop: no new requests are accepted, open ones are answered by the deadline, and the engine reports that it
+// has stopped.
 func TestStop(t *testing.T) {
-	r := newRig(t, testConfig(), fleetFacts())
-	quick, slow := r.ask(classWrite, token.Token{}), r.ask(classWrite, token.Token{})
+	r := newHarness(t, testConfig(), fleetFacts())
+	quick, slow := r.request(classWrite, token.Token{}), r.request(classWrite, token.Token{})
 	r.step(Event{Kind: EventStop, Until: r.now + 500*ms})
-	late := r.ask(classArticle, token.Token{})
+	late := r.request(classArticle, token.Token{})
 	if a := r.answer(late); a.Status != Refused || a.Cause != CauseStopping {
 		t.Errorf("new request: %+v", a)
 	}
@@ -304,82 +307,82 @@
 		t.Errorf("held request: %+v", a)
 	}
 	if a := r.answer(slow); a.Status != Failed {
-		t.Errorf("write still out: %+v", a)
+		t.Errorf("write still in flight: %+v", a)
 	}
 	if !r.stopped {
 		t.Error("not stopped though all is answered")
 	}
-	r.quiet()
+	r.checkIdle()
 }
 
 func TestMaxOpen(t *testing.T) {
 	cfg := testConfig()
 	cfg.MaxOpen = 3
-	r := newRig(t, cfg, fleetFacts())
+	r := newHarness(t, cfg, fleetFacts())
 	for range 3 {
-		r.ask(classWrite, token.Token{})
+		r.request(classWrite, token.Token{})
 	}
-	if a := r.answer(r.ask(classWrite, token.Token{})); a.Status != Refused || a.Cause != CauseMaxOpen {
+	if a := r.answer(r.request(classWrite, token.Token{})); a.Status != Refused || a.Cause != CauseMaxOpen {
 		t.Errorf("the fourth: %+v", a)
 	}
-	r.quiet()
+	r.checkIdle()
 }
 
 func TestUnknownSlice(t *testing.T) {
-	r := newRig(t, testConfig(), fleetFacts())
+	r := newHarness(t, testConfig(), fleetFacts())
 	r.step(Event{Kind: EventRequest, Request: 77, Ask: Ask{Slice: "olds", Deadline: r.now + time.Second}})
 	if a := r.answer(77); a.Status != Refused || a.Cause != CauseSlice {
 		t.Errorf("answer %+v", a)
 	}
 }
 
-// TestStreamBreaks: once rows went to the client the answer is its own; a break ends it, never a second try.
+// TestStreamBreaks: after rows went to the client, a failure ends the answer; there is no further attempt.
 func TestStreamBreaks(t *testing.T) {
-	r := newRig(t, testConfig(), fleetFacts())
-	id := r.ask(classStats, token.Token{})
+	r := newHarness(t, testConfig(), fleetFacts())
+	id := r.request(classStats, token.Token{})
 	c := r.sent(id)
 	r.step(Event{Kind: EventOpened, Conn: c.Conn, Result: Result{Facts: r.nodes[c.Node].facts}})
-	r.run(3 * time.Second) // neither time-out nor deadline run on
+	r.run(3 * time.Second) // neither the time limit nor the deadline ends a stream
 	if len(r.answers[id]) != 0 {
-		t.Fatalf("answered in the midst of its stream: %+v", r.answers[id])
+		t.Fatalf("answered during its stream: %+v", r.answers[id])
 	}
 	r.result(c, broken(true, ""))
-	if a := r.answer(id); a.Status != Failed || a.Cause != CauseCut || r.isSent(id) {
+	if a := r.answer(id); a.Status != Failed || a.Cause != CauseStreamBroken || r.isSent(id) {
 		t.Errorf("answer %+v, sent again %v", a, r.isSent(id))
 	}
-	r.quiet()
+	r.checkIdle()
 }
 
-// TestStreamReaderLeaves: the connection is closed, as its rows have nowhere to go.
+// TestStreamReaderLeaves: the connection is closed, as its rows have no reader.
 func TestStreamReaderLeaves(t *testing.T) {
-	r := newRig(t, testConfig(), fleetFacts())
-	id := r.ask(classStats, token.Token{})
+	r := newHarness(t, testConfig(), fleetFacts())
+	id := r.request(classStats, token.Token{})
 	c := r.sent(id)
 	r.step(Event{Kind: EventOpened, Conn: c.Conn, Result: Result{Facts: r.nodes[c.Node].facts}})
 	r.step(Event{Kind: EventLeft, Request: id})
 	if r.e.conns[c.Conn] != nil {
 		t.Error("the connection is still there")
 	}
-	r.quiet()
+	r.checkIdle()
 }
 
-// TestPoolIsBounded: no more connections than the pool's size, and those that wait go out as they come free.
+// TestPoolIsBounded: no more connections than PoolSize, and queued attempts are sent as connections become idle.
 func TestPoolIsBounded(t *testing.T) {
 	cfg := testConfig()
 	cfg.PoolSize = 2
-	r := newRig(t, cfg, fleetFacts())
+	r := newHarness(t, cfg, fleetFacts())
 	var ids []RequestID
 	for range 6 {
-		ids = append(ids, r.ask(classWrite, token.Token{}))
+		ids = append(ids, r.request(classWrite, token.Token{}))
 	}
 	if n := len(r.sends); n != 2 {
-		t.Fatalf("%d are out over a pool of 2", n)
+		t.Fatalf("%d in flight with a pool of 2", n)
 	}
 	for len(r.sends) > 0 {
 		r.run(5 * ms)
 		r.reply(r.sent(r.sends[0].Request))
 		if len(r.sends) > 2 {
-			t.Fatalf("%d are out", len(r.sends))
+			t.Fatalf("%d in flight", len(r.sends))
 		}
 	}
 	for _, id := range ids {
@@ -387,102 +390,103 @@
 			t.Errorf("request %d: %+v", id, a)
 		}
 	}
-	r.quiet()
+	r.checkIdle()
 }
 
-// TestDriverSessions: without tokens, a session's read sees what the session wrote through this driver.
+// TestDriverSessions: without tokens, a session's reads see what the session wrote through this driver.
 func TestDriverSessions(t *testing.T) {
 	cfg := testConfig()
 	cfg.DriverSessions, cfg.SessionBytes, cfg.SessionsWhole = true, 1<<20, true
-	r := newRig(t, cfg, fleetFacts())
-	w := r.ask(classWrite, token.Token{})
+	r := newHarness(t, cfg, fleetFacts())
+	w := r.request(classWrite, token.Token{})
 	r.nodes["p"].facts = primary(at(1, 1100))
 	r.reply(r.sent(w))
-	id := r.ask(classOwn, token.Token{})
+	id := r.request(classOwn, token.Token{})
 	r.run(30 * ms)
 	if c := r.sent(id); c.Node != "p" {
-		t.Errorf("it went to %s, which stands at 1000", c.Node)
+		t.Errorf("it went to %s, which is at 1000", c.Node)
 	}
-	r.quiet()
+	r.checkIdle()
 }
 
-func freeSessions(most int) *sessions {
-	s := newSessions(most)
+func newTestSessions(maxBytes int) *sessions {
+	s := newSessions(maxBytes)
 	s.lift = func(string, time.Duration) (position.Position, bool) { return position.Position{}, false }
 	s.passed = func(string, position.Position) bool { return false }
 	return s
 }
 
-// TestSessionTableIsBounded: a hundred thousand sessions through a table for ten thousand. None of the
-// forgotten ones may need less than it wrote.
+// TestSessionTableIsBounded: 100,000 sessions in a table for 10,000. An evicted session must not require less than
+// it wrote.
 func TestSessionTableIsBounded(t *testing.T) {
-	const sessions, room = 100000, 10000
-	s := freeSessions(room * (sessionCost + len("news") + len("s00000")))
+	const sessions, capacity = 100000, 10000
+	s := newTestSessions(capacity * (sessionCost + len("news") + len("s00000")))
 	for i := range sessions {
-		s.saw("news", fmt.Sprintf("s%05d", i), at(1, uint64(i+1)), time.Duration(i))
+		s.observe("news", fmt.Sprintf("s%05d", i), at(1, uint64(i+1)), time.Duration(i))
 	}
-	if n := s.known.Len(); n > room || s.bytes > s.most {
+	if n := s.tracked.Len(); n > capacity || s.bytes > s.maxBytes {
 		t.Errorf("%d sessions in %d bytes", n, s.bytes)
 	}
 	for i := range sessions {
-		if got := s.needs("news", fmt.Sprintf("s%05d", i)); !got.Covers(at(1, uint64(i+1))) {
-			t.Fatalf("session %d needs %v", i, got)
+		if got := s.required("news", fmt.Sprintf("s%05d", i)); !got.Covers(at(1, uint64(i+1))) {
+			t.Fatalf("session %d requires %v", i, got)
 		}
 	}
-	if got := s.needs("olds", "s1"); !got.IsZero() {
-		t.Errorf("another slice needs %v", got)
+	if got := s.required("olds", "s1"); !got.IsZero() {
+		t.Errorf("another slice requires %v", got)
 	}
 }
 
-// TestSessionsThatAllPassed leave no floor behind.
-func TestSessionsThatAllPassed(t *testing.T) {
-	s := freeSessions(1)
+// TestSessionsThatAllNodesPassed: evicting such a session raises no floor.
+func TestSessionsThatAllNodesPassed(t *testing.T) {
+	s := newTestSessions(1)
 	s.passed = func(string, position.Position) bool { return true }
-	s.saw("news", "a", at(1, 5), 1)
-	if got := s.needs("news", "b"); !got.IsZero() {
-		t.Errorf("needs %v", got)
+	s.observe("news", "a", at(1, 5), 1)
+	if got := s.required("news", "b"); !got.IsZero() {
+		t.Errorf("requires %v", got)
 	}
 }
 
-// TestSnapshotOfSessions: a whole one is as good as the life before; an old one leaves everybody guarded until
-// the primary was heard, and what it knows holds beside that.
+// TestSnapshotOfSessions: after a restart with complete state, sessions see their writes; without, every session
+// requires the latest position until the primary has reported one.
 func TestSnapshotOfSessions(t *testing.T) {
 	cfg := testConfig()
 	cfg.DriverSessions, cfg.SessionBytes, cfg.SessionsWhole = true, 1<<20, true
-	r := newRig(t, cfg, fleetFacts())
-	w := r.ask(classWrite, token.Token{})
+	r := newHarness(t, cfg, fleetFacts())
+	w := r.request(classWrite, token.Token{})
 	r.nodes["p"].facts = primary(at(1, 1100))
 	r.reply(r.sent(w))
 	cfg.Sessions = r.e.Sessions()
-	next := newRig(t, cfg, map[string]Facts{"p": primary(at(1, 1200)), "r1": replica(at(1, 1050)), "r2": replica(at(1, 1050))})
-	id := next.ask(classOwn, token.Token{})
+	next := newHarness(t, cfg, map[string]Facts{"p": primary(at(1, 1200)), "r1": replica(at(1, 1050)), "r2": replica(at(1, 1050))})
+	id := next.request(classOwn, token.Token{})
 	next.run(100 * ms)
 	if c := next.sent(id); c.Node != "p" {
-		t.Errorf("after a whole snapshot the session's read went to %s", c.Node)
+		t.Errorf("after a complete snapshot the session's read went to %s", c.Node)
 	}
 	cfg.Sessions, cfg.SessionsWhole = nil, false
-	guarded := newRig(t, cfg, map[string]Facts{"p": primary(at(1, 1200)), "r1": replica(at(1, 1050)), "r2": replica(at(1, 1050))})
-	id = guarded.ask(classOwn, token.Token{})
+	guarded := newHarness(t, cfg, map[string]Facts{"p": primary(at(1, 1200)), "r1": replica(at(1, 1050)), "r2": replica(at(1, 1050))})
+	id = guarded.request(classOwn, token.Token{})
 	guarded.run(100 * ms)
 	if c := guarded.sent(id); c.Node != "p" {
 		t.Errorf("without a snapshot a session's read went to %s, which lacks what it may have written", c.Node)
 	}
 	guarded.nodes["r1"].facts, guarded.nodes["r2"].facts = replica(at(1, 1200)), replica(at(1, 1200))
 	guarded.run(time.Second)
-	id = guarded.ask(classOwn, token.Token{})
+	id = guarded.request(classOwn, token.Token{})
 	guarded.run(100 * ms)
 	if c := guarded.sent(id); c.Node == "p" {
 		t.Error("it still goes to the primary though replicas have passed the floor")
 	}
 }
 
-// TestWithoutToken follows the class's policy, and a token lost on the way counts as more than none.
+// TestWithoutToken: a read without a token is treated by its class's policy, and one whose token was lost in
+// transit at least as strictly as by TokenlessPrimary.
 func TestWithoutToken(t *testing.T) {
 	for policy, want := range map[Tokenless]string{TokenlessAccept: "replica", TokenlessPrimary: "p", TokenlessRefuse: "refused"} {
 		for _, lost := range []bool{false, true} {
 			cfg := testConfig()
 			cfg.Tokenless = []Tokenless{classOwn: policy}
-			r := newRig(t, cfg, fleetFacts())
+			r := newHarness(t, cfg, fleetFacts())
 			r.step(Event{Kind: EventRequest, Request: 500, Ask: Ask{Class: classOwn, Slice: "news", Lost: lost, Deadline: r.now + time.Second}})
 			r.run(30 * ms)
 			got := "refused"
@@ -504,23 +508,24 @@
 	}
 }
 
-// TestTokensThatCanNotBeServed are answered as such: of a write lost in a promotion, ahead of the primary, foreign.
-func TestTokensThatCanNotBeServed(t *testing.T) {
+// TestUnservableTokens: tokens of a write lost in a promotion, ahead of the primary, or foreign are refused with
+// their own causes.
+func TestUnservableTokens(t *testing.T) {
 	facts := fleetFacts()
 	p := primary(at(2, 1000))
 	p.Forks = []position.Position{at(1, 900)}
 	facts["p"], facts["r1"], facts["r2"] = p, replica(at(2, 1000)), replica(at(2, 1000))
-	r := newRig(t, testConfig(), facts)
-	if a := r.answer(r.ask(classOwn, token.Token{}.With("news", at(1, 950)))); a.Status != Refused || a.Cause != CauseTokenLost {
+	r := newHarness(t, testConfig(), facts)
+	if a := r.answer(r.request(classOwn, token.Token{}.With("news", at(1, 950)))); a.Status != Refused || a.Cause != CauseTokenLost {
 		t.Errorf("lost: %+v", a)
 	}
-	kept := r.ask(classOwn, token.Token{}.With("news", at(1, 900)))
+	kept := r.request(classOwn, token.Token{}.With("news", at(1, 900)))
 	r.run(30 * ms)
 	r.reply(r.sent(kept))
 	if a := r.answer(kept); a.Status != Served {
 		t.Errorf("kept by the promotion: %+v", a)
 	}
-	ahead := r.ask(classOwn, token.Token{}.With("news", at(2, 5000)))
+	ahead := r.request(classOwn, token.Token{}.With("news", at(2, 5000)))
 	r.run(30 * ms)
 	c := r.sent(ahead)
 	if c.Node != "p" {
@@ -537,49 +542,50 @@
 	if a := r.answer(700); a.Status != Refused || a.Cause != CauseTokenAhead {
 		t.Errorf("ahead, and another lost: %+v", a)
 	}
-	if a := r.answer(r.ask(classOwn, token.Token{}.With("olds", at(1, 5)))); a.Cause != CauseForeign {
+	if a := r.answer(r.request(classOwn, token.Token{}.With("olds", at(1, 5)))); a.Cause != CauseForeign {
 		t.Errorf("foreign: %+v", a)
 	}
-	r.quiet()
+	r.checkIdle()
 }
 
-// TestPlacesLongPassedAreDropped from tokens that go back to clients.
-func TestPlacesLongPassedAreDropped(t *testing.T) {
-	r := newRig(t, testConfig(), fleetFacts())
+// TestOldPositionsAreDroppedFromTokens: positions of other slices that all nodes passed long ago are not returned
+// to clients.
+func TestOldPositionsAreDroppedFromTokens(t *testing.T) {
+	r := newHarness(t, testConfig(), fleetFacts())
 	list := []Node{{Name: "p", Address: "p:1", Slice: "news", Hall: "a"}, {Name: "r1", Address: "r1:1", Slice: "news", Hall: "a"},
 		{Name: "r2", Address: "r2:1", Slice: "news", Hall: "a"}, {Name: "q", Address: "q:1", Slice: "olds", Hall: "a"}}
 	r.nodes["q"] = &fakeNode{facts: primary(at(1, 1000))}
 	r.step(Event{Kind: EventList, List: balance.ListFull, Nodes: list})
 	r.run(time.Second)
 	both := token.Token{}.With("news", at(1, 990)).With("olds", at(1, 990))
-	for _, wait := range []time.Duration{0, 2 * longPassed} {
+	for _, wait := range []time.Duration{0, 2 * minPruneAge} {
 		r.run(wait)
-		id := r.ask(classOwn, both)
+		id := r.request(classOwn, both)
 		r.run(30 * ms)
 		r.reply(r.sent(id))
 		if _, named := r.answer(id).Token.At("olds"); named != (wait == 0) {
-			t.Errorf("after %v the place of the other slice is named: %v", wait, named)
+			t.Errorf("after %v the other slice's position is in the token: %v", wait, named)
 		}
 	}
 }
 
-// TestRefusedConnections: full nodes are told as full, not as dead.
+// TestRefusedConnections: a node that refuses a connection as full must not count as failed.
 func TestRefusedConnections(t *testing.T) {
-	r := newRig(t, testConfig(), fleetFacts())
-	r.nodes["p"].deaf = true
-	w := r.ask(classWrite, token.Token{})
+	r := newHarness(t, testConfig(), fleetFacts())
+	r.nodes["p"].unreachable = true
+	w := r.request(classWrite, token.Token{})
 	for id, c := range r.e.conns {
 		if c.state == dialing {
 			r.step(Event{Kind: EventDialed, Conn: id, Dial: &DialError{Full: true, Err: errFull{}}})
 			break
 		}
 	}
-	r.nodes["p"].deaf = false
+	r.nodes["p"].unreachable = false
 	r.run(500 * ms)
 	if !r.isSent(w) && len(r.answers[w]) == 0 {
-		t.Error("the write is neither out nor answered")
+		t.Error("the write is neither in flight nor answered")
 	}
-	r.quiet()
+	r.checkIdle()
 }
 
 type errFull struct{}
@@ -588,63 +594,64 @@
 
 func TestConfigIsChecked(t *testing.T) {
 	if _, err := New(Config{}, 1); err == nil {
-		t.Error("an empty configuration was taken")
+		t.Error("an empty configuration was accepted")
 	}
 	cfg := testConfig()
 	cfg.Router.Classes = nil
 	if _, err := New(cfg, 1); err == nil {
-		t.Error("a configuration without classes was taken")
+		t.Error("a configuration without classes was accepted")
 	}
 }
 
-// TestTokenWithABoundedRead: the token counts beside the bound, and no attempt is wasted on replicas behind it.
+// TestTokenWithABoundedRead: the token applies besides the staleness bound, and no attempt is wasted on a replica
+// that is behind it.
 func TestTokenWithABoundedRead(t *testing.T) {
-	r := newRig(t, testConfig(), fleetFacts())
+	r := newHarness(t, testConfig(), fleetFacts())
 	r.nodes["p"].facts = primary(at(1, 1500))
 	for _, class := range []int{classArticle, classStats} {
-		id := r.ask(class, token.Token{}.With("news", at(1, 1500)))
+		id := r.request(class, token.Token{}.With("news", at(1, 1500)))
 		r.run(30 * ms)
 		c := r.sent(id)
 		if c.Node != "p" {
-			t.Errorf("class %d went to %s, which stands at 1000", class, c.Node)
+			t.Errorf("class %d went to %s, which is at 1000", class, c.Node)
 		}
 		r.reply(c)
 		if a := r.answer(id); a.Status != Served || a.Attempts != 1 {
 			t.Errorf("class %d: %+v", class, a)
 		}
 	}
-	r.quiet()
+	r.checkIdle()
 }
 
-// TestUnknownPlaceAfterAPromotion: a replica that follows the new timeline and still replays what it shares with
-// the old one may lack the commit whose place was not heard.
-func TestUnknownPlaceAfterAPromotion(t *testing.T) {
+// TestUnknownPositionAfterAPromotion: a replica on the new timeline that still replays log shared with the old one
+// may lack a commit whose position is unknown.
+func TestUnknownPositionAfterAPromotion(t *testing.T) {
 	facts := map[string]Facts{"p": primary(at(2, 1000)), "r1": replica(at(2, 600)), "r2": replica(at(2, 600))}
-	r := newRig(t, testConfig(), facts)
+	r := newHarness(t, testConfig(), facts)
 	tok := token.Token{}.With("news", at(1, position.Unknown))
-	id := r.ask(classOwn, tok)
+	id := r.request(classOwn, tok)
 	r.run(50 * ms)
 	if c := r.sent(id); c.Node != "p" {
 		t.Errorf("it went to %s", c.Node)
 	}
 	r.nodes["r1"].facts, r.nodes["r2"].facts = replica(at(2, 1000)), replica(at(2, 1000))
 	r.run(time.Second)
-	id = r.ask(classOwn, tok)
+	id = r.request(classOwn, tok)
 	r.run(50 * ms)
 	c := r.sent(id)
 	r.reply(c)
 	a := r.answer(id)
 	if got, _ := a.Token.At("news"); a.Status != Served || got != at(2, 1000) {
-		t.Errorf("at %s: %+v; its token says more than the answer holds", c.Node, a)
+		t.Errorf("at %s: %+v; its token is beyond what the answer holds", c.Node, a)
 	}
-	r.quiet()
+	r.checkIdle()
 }
 
-// TestShellThatStoodStill: polls were answered while the shell stood still for longer than they may take. Taken late,
-// the answers count; taken as ever, the time-outs do, and every node seems gone.
-func TestShellThatStoodStill(t *testing.T) {
+// TestStalledIOLayer: polls were answered while the I/O layer was stalled for longer than Config.PollTimeout. With
+// StepLate the answers count; with Step the time-outs do, and all nodes seem unreachable.
+func TestStalledIOLayer(t *testing.T) {
 	for _, late := range []bool{false, true} {
-		r := newRig(t, testConfig(), fleetFacts())
+		r := newHarness(t, testConfig(), fleetFacts())
 		r.run(time.Second)
 		for _, n := range r.nodes {
 			n.silent = true
@@ -676,7 +683,7 @@
 			}
 		}
 		if late && failing > 0 || !late && failing == 0 {
-			t.Errorf("late %v: %d nodes seem gone", late, failing)
+			t.Errorf("late %v: %d nodes seem unreachable", late, failing)
 		}
 	}
 }
--- a/driver/event.go
+++ b/driver/event.go
@@ -1,10 +1,7 @@
-// Package driver is the engine between clients, db nodes and package balance. It does no I/O: events and the
-// time go in, commands come out, and a shell (package server on sockets, a simulator elsewhere) carries them
-// out. It reads no clock, starts no goroutine and draws no randomness but from its seed, so that the same
-// events give the same commands.
-//
-// The engine decides nothing of package balance's areas. It translates: requests and answers into the
-// module's events, the module's actions into sends, dials and answers, and log positions into times.
+// Package driver is the engine between clients, database nodes and package balance; it does no I/O. Events and the
+// time go in: requests, results of exchanges with nodes, node lists. Commands come out, to dial, send, cancel,
+// close and answer; an I/O layer (package server on sockets, a simulator elsewhere) calls Engine.Step and carries
+// them out.
 package driver
 
 import (
@@ -16,96 +13,96 @@
 	"umberladder/token"
 )
 
-// ConnID names one connection to a db node; an engine never uses one twice.
+// ConnID identifies one connection to a database node. An engine never reuses one.
 type ConnID uint64
 
-// RequestID names one request; the shell draws it and never uses one twice.
+// RequestID identifies one request. The I/O layer assigns it and never reuses one.
 type RequestID = balance.RequestID
 
-// Node is one db node of the list.
+// Node is one database node of the node list.
 type Node struct {
 	Name    string
 	Address string // host:port
 	Slice   string
 	Hall    string
 	Life    balance.Life
-	// Instance tells apart what counts as one node and then another under the same name and address, as when
-	// a drain was called off: what was told of the one binds it for good.
+	// Instance distinguishes nodes that share a name and an address but count as separate nodes, as when a drain
+	// is called off: decisions made about the former instance stay final for it.
 	Instance int
-	Started  time.Duration // last start of its process on the engine's clock; 0 if long ago or not told
+	Started  time.Duration // last start of its process on the engine's clock; 0 if long ago or not reported
 }
 
-// Facts is what a node told of itself in one answer.
+// Facts is what a node reported about itself in one answer.
 type Facts struct {
-	Known    bool
+	Known    bool                  // false if it reported nothing; the other fields are then zero
 	Replica  bool                  // in recovery
-	Position position.Position     // of a primary, its transactions are those that it told to be over, none if it did not
-	Received uint64                // of a replica: the log that it has, replayed or not; 0 if not told
-	Shown    position.Transactions // of a replica: those that it may have shown; none if not told
-	// Forks are where older timelines were left: of each one the last place that its successor kept.
+	Position position.Position     // of a primary, Transactions are those it reported as finished; none if not reported
+	Received uint64                // replica only: end of the log received, replayed or not; 0 if not reported
+	Shown    position.Transactions // replica only: transactions that may be visible there; none if not reported
+	// Forks holds, for each older timeline, the last position that its successor kept.
 	Forks    []position.Position
-	System   uint64 // the cluster's identifier; 0 if not told
-	Upstream string // of a replica: HOST:PORT of the node that it receives from; "" if it receives nothing or did not tell
-	Clock    int64  // the node's own clock, in microseconds since 1970; 0 if not told
-	// Standbys are those that follow it, as it told: an IP address and a name each.
+	System   uint64 // PostgreSQL's system identifier of the cluster; 0 if not reported
+	Upstream string // replica only: HOST:PORT of the node it streams from; "" if it streams from none or did not report it
+	Clock    int64  // the node's own clock, in microseconds since 1970; 0 if not reported
+	// Standbys are the nodes that stream from it, as it reports them: an IP address and a name each.
 	Standbys []string
 }
 
-// End is how an exchange on a connection ended.
+// End is how an exchange ended. An exchange is one query sent on a connection and its pending reply.
 type End uint8
 
-// The ends of an exchange.
+// The ways an exchange can end.
 const (
-	EndAnswered End = iota // the node answered all of it; the connection may be used again
-	EndBroken              // the connection is gone, or what came on it can't be trusted
-	EndNotSent             // the connection was gone before a byte of it was written
+	EndAnswered End = iota // the complete answer was received; the connection can be reused
+	EndBroken              // the connection failed, or what was received on it is not valid
+	EndNotSent             // the connection had failed before any byte was written
 )
 
-// Result is what came of one exchange.
+// Result is the result of one exchange.
 type Result struct {
 	End     End
-	Began   bool          // the node took the statement up: what follows may have run
-	Done    bool          // the statement ran and, if it writes, is committed; then Err is nil
+	Began   bool          // the node started the statement: it and what follows may have run
+	Done    bool          // the statement ran and, if it writes, is committed; Err is then nil
 	Err     *pgwire.Error // the node's error, nil if none
-	Asking  bool          // Err is the answer to the driver's own question, not to the statement
-	Guarded bool          // Err is that of the guard before a write: nothing ran
-	Facts   Facts         // before a read, after a write
-	After   Facts         // after a read: what it showed lies at or before that place
-	Payload any           // the shell's own; comes back with the answer
+	Asking  bool          // Err answers the driver's own query for facts, not the statement
+	Guarded bool          // Err comes from the guard before a write: nothing ran
+	Facts   Facts         // read before a read, after a write
+	After   Facts         // read after a read: what the read saw lies at or before this position
+	Payload any           // opaque to the engine; returned with the answer
 }
 
-// EventKind tells events apart.
+// EventKind is the kind of an Event.
 type EventKind uint8
 
-// The kinds of event.
+// The kinds of event, each with the fields it uses.
 const (
-	EventRequest EventKind = iota // Request, and Ask with all that it asks for
-	EventLeft                     // Request: its client left
-	EventDialed                   // Conn: it is up, or Err tells why not
+	EventRequest EventKind = iota // Request, Ask: a client sent a request
+	EventLeft                     // Request: its client disconnected
+	EventDialed                   // Conn: it is open, or Dial says why not
 	EventResult                   // Conn, Result: its exchange ended
-	EventOpened                   // Conn, Result.Facts: a streamed answer is about to begin
-	EventClosed                   // Conn: it went away while nothing was out on it
-	EventList                     // List, Nodes
-	EventStop                     // take nothing new; answer what is held by Until
+	EventOpened                   // Conn, Result.Facts: the first rows of a streamed answer are there
+	EventClosed                   // Conn: it closed with no exchange in flight
+	EventList                     // List, Nodes: the node list or a change of it
+	EventStop                     // Until: accept no new requests, and answer all open ones by then
 )
 
-// Ask is what a request asks for.
+// Ask holds the parameters of a request.
 type Ask struct {
-	Class    int // place in the configuration
+	Class    int // index in Config.Router.Classes
 	Slice    string
 	Session  string
 	Token    token.Token
-	Lost     bool          // a token was there and was lost on the way
-	Deadline time.Duration // clock time at which the client gives up
+	Lost     bool          // the client had a token that was lost in transit
+	Deadline time.Duration // when the client gives up, on the engine's clock
 }
 
-// DialError says why there is no connection.
+// DialError reports why a connection could not be opened.
 type DialError struct {
-	Full bool  // the node is up and takes no more, or not yet
-	Err  error // for the log
+	Full bool  // the node runs but accepts no further connection, or none yet
+	Err  error // its text goes into the log
 }
 
-// Event is one thing that happened; Kind says which fields count.
+// Event is an input of the engine. Kind determines which fields are set.
 type Event struct {
 	Kind    EventKind
 	List    balance.ListKind
@@ -118,21 +115,21 @@
 	Until   time.Duration
 }
 
-// CommandKind tells commands apart.
+// CommandKind is the kind of a Command.
 type CommandKind uint8
 
 // The kinds of command.
 const (
 	CommandDial      CommandKind = iota // open Conn to Address
-	CommandSend                         // run Request on Conn; Write says in which order to ask for facts
-	CommandAsk                          // ask on Conn for facts alone
-	CommandCancel                       // ask the node to end what Conn runs
-	CommandClose                        // close Conn, whatever is out on it
-	CommandOpen                         // the streamed answer on Conn is Request's
-	CommandAnswer                       // the final answer to Request
-	CommandSubscribe                    // send the list and its changes as EventList
-	CommandLog                          // Text for the operators
-	CommandStopped                      // nothing is held any more
+	CommandSend                         // run Request on Conn; Write: read the facts after it, else before it
+	CommandAsk                          // read the facts alone on Conn
+	CommandCancel                       // ask the node to cancel the statement that runs on Conn
+	CommandClose                        // close Conn, whatever is in flight on it
+	CommandOpen                         // pass the streamed answer on Conn to the client of Request
+	CommandAnswer                       // send the final answer of Request
+	CommandSubscribe                    // deliver the node list and its changes as EventList
+	CommandLog                          // log Text for operators
+	CommandStopped                      // after EventStop: no request is open
 )
 
 // Status is the kind of a final answer.
@@ -141,39 +138,39 @@
 // The statuses of a final answer.
 const (
 	Served  Status = iota // Payload is the answer
-	Refused               // a further try is harmless
-	Failed                // no promise
+	Refused               // nothing took effect; the client may safely retry
+	Failed                // the request may or may not have taken effect
 )
 
-// String says it in a word.
+// String returns the status as one lower-case word.
 func (s Status) String() string { return [...]string{"served", "refused", "failed"}[s] }
 
-// Cause says why a request was refused or failed.
+// Cause is the reason for which a request was refused or failed.
 type Cause uint8
 
-// The causes.
+// The causes of a refusal or failure.
 const (
-	CauseNone       Cause = iota
-	CauseNoNode           // no db node could take it in its time
-	CauseUncertain        // an attempt went out and what became of it is not known
-	CauseCut              // its streamed answer broke off
-	CauseStopping         // the driver is stopping
-	CauseClass            // its class is not configured
-	CauseSlice            // its slice is not in the list
-	CauseMaxOpen          // the driver holds as many as it may
-	CauseForeign          // its token names no slice of this driver's
-	CauseTokenless        // its class wants a token and there is none
-	CauseTokenLost        // what its token stands for was lost in a promotion
-	CauseTokenAhead       // its token is ahead of the slice's primary
-	CauseFull             // as many of its slice are under way as are answered in time
-	CauseShare            // its client has its part of them under way
-	CauseBytes            // this driver holds as many bytes of requests as it may
-	CauseMemory           // this driver is near the memory that it may take up
-	CauseLate             // this driver is late, and other work is worth more
-	CauseRetries          // too many further attempts
+	CauseNone         Cause = iota
+	CauseNoNode             // no node could run it before its deadline
+	CauseUncertain          // an attempt was sent and its outcome is unknown
+	CauseStreamBroken       // its streamed answer was interrupted
+	CauseStopping           // the driver is shutting down
+	CauseClass              // its class is not configured
+	CauseSlice              // its slice is not in the node list
+	CauseMaxOpen            // the driver has Config.MaxOpen requests open
+	CauseForeign            // its token names only slices that this driver does not know
+	CauseTokenless          // its class requires a token and it has none
+	CauseTokenLost          // the write that its token stands for was lost in a promotion
+	CauseTokenAhead         // its token is ahead of the slice's primary
+	CauseFull               // admission control: as many requests of its slice are in flight as can be answered in time
+	CauseShare              // admission control: its client has its share of them in flight
+	CauseBytes              // limit on the bytes of requests in this driver
+	CauseMemory             // this driver is close to its memory limit
+	CauseLate               // load shedding: the driver is late, and other requests have a higher value
+	CauseRetries            // retry budget: too many further attempts
 )
 
-// String says it in words.
+// String returns the cause as a phrase for messages to clients, "" for CauseNone.
 func (c Cause) String() string {
 	return [...]string{"", "no db node could take it in time", "an attempt went out and what became of it is not known",
 		"the answer broke off on its way", "this driver is stopping", "its class is not configured",
@@ -187,13 +184,13 @@
 		"too many requests come again; do not try this one again"}[c]
 }
 
-// Answer is a final answer, or, with CommandOpen, how a streamed one begins.
+// Answer is a final answer or, with CommandOpen, the beginning of a streamed one.
 type Answer struct {
 	Status     Status
 	Cause      Cause         // of a refusal or failure
 	RetryAfter time.Duration // advice with a refusal, 0 for none
-	Token      token.Token   // covers all that the client has seen with this answer
-	Holds      token.Token   // of a read: the answer shows all that lies at or before it; for caches
+	Token      token.Token   // covers everything the client has seen, this answer included
+	Holds      token.Token   // of a read: the answer shows everything at or before this position; for caches
 	Node       string
 	Hall       string
 	Facts      Facts
@@ -201,15 +198,16 @@
 	Payload    any
 }
 
-// Guard is what a node must check in the transaction of a write before it runs: that it is no replica, that its timeline
-// is no older than this, that its own clock is not beyond Until, and that it is of the cluster.
+// Guard is what a node must check in the transaction of a write, before the write runs: that it is not a replica,
+// that its timeline is not older than Timeline, that its own clock is not past Until, and that it belongs to
+// cluster System. It fences writes off a stale primary.
 type Guard struct {
 	Timeline uint32
-	Until    int64  // microseconds since 1970; 0 for any time
-	System   uint64 // the cluster; 0 for any
+	Until    int64  // microseconds since 1970 on the node's clock; 0 for no limit
+	System   uint64 // 0 for any cluster
 }
 
-// Command is one thing to do, in order.
+// Command is one action for the I/O layer. Commands are to be executed in order.
 type Command struct {
 	Kind    CommandKind
 	Conn    ConnID
@@ -217,7 +215,7 @@
 	Node    string
 	Address string
 	Write   bool
-	Guard   Guard // of a write
+	Guard   Guard // with CommandSend of a write
 	Answer  Answer
 	Text    string
 }
--- a/driver/facts.go
+++ b/driver/facts.go
@@ -9,133 +9,137 @@
 	"umberladder/topology"
 )
 
-// poll asks a node for its role and position, over a connection of its own where there is room for one.
+// poll starts a poll of a node for its role and log position, over the node's prober if there is capacity for that
+// connection.
 func (e *Engine) poll(n *node) {
 	if n == nil {
 		return
 	}
-	n.polled = true
-	e.companion(n)
+	n.pollPending = true
+	e.pollPrimaryIfStale(n)
 	n.polls++
-	n.pause, n.pollBegan = 0, e.now
-	newest, heard := n.slice.clock.Newest()
-	n.pollQuiet = !heard || e.now-newest > e.cfg.ClockAge
-	poll, began := n.polls, e.now
-	// Giving up on a poll gives up its connection: an answer to come would be taken for the next one's.
+	n.repollPause, n.pollStarted = 0, e.now
+	newest, known := n.slice.clock.Newest()
+	n.clockStale = !known || e.now-newest > e.cfg.ClockAge
+	poll, started := n.polls, e.now
+	// A poll that times out closes its connection: a late reply would be taken for that of the next poll.
 	e.timers.Set(e.now+e.cfg.PollTimeout, func(time.Duration) {
-		if !n.polled || n.polls != poll {
+		if !n.pollPending || n.polls != poll {
 			return
 		}
 		if n.prober != nil {
-			e.lost(n.prober, true)
+			e.removeConn(n.prober, true)
 		}
-		if n.pollWaits {
-			e.pollEnded(n, balance.Event{Outcome: balance.OutcomeFull, Age: e.now - began}) // it was never asked
+		if n.pollQueued {
+			e.pollEnded(n, balance.Event{Outcome: balance.OutcomeFull, Age: e.now - started}) // it was never sent
 			return
 		}
-		e.unreached(n, fmt.Sprintf("no answer to a poll within %v", e.now-began))
-		e.pollEnded(n, balance.Event{Outcome: balance.OutcomeTimeout, Age: e.now - began})
+		e.unreached(n, fmt.Sprintf("no answer to a poll within %v", e.now-started))
+		e.pollEnded(n, balance.Event{Outcome: balance.OutcomeTimeout, Age: e.now - started})
 	})
-	if !e.quiet(n) && n.prober == nil && !n.waitsToPoll() {
+	if !e.pollOnIdle(n) && n.prober == nil && !n.queuePoll() {
 		n.prober = e.dial(n, true)
-	} // else it is at work for the clock: what that brings answers the poll too
+	} // else the prober is busy with an unrequested poll, whose result counts for this one too
 }
 
-// companion asks the primary of the slice too when its log was not heard lately: without a newer place to
-// compare with, what a replica has applied proves nothing new.
-func (e *Engine) companion(n *node) {
+// pollPrimaryIfStale polls the slice's primary too if its last log position is too old: a replica's position is
+// judged by comparison with the primary's, so that without a newer one the poll of a replica proves nothing new.
+func (e *Engine) pollPrimaryIfStale(n *node) {
 	p := n.slice.primary
-	if p == nil || p == n || p.polled || p.listed.Life != balance.LifeReady {
+	if p == nil || p == n || p.pollPending || p.entry.Life != balance.LifeReady {
 		return
 	}
 	if at, ok := n.slice.clock.Newest(); !ok || e.now-at > e.cfg.ClockAge {
-		e.quiet(p)
+		e.pollOnIdle(p)
 	}
 }
 
-func (e *Engine) askProber(c *conn) {
-	e.become(c, busy)
+func (e *Engine) sendPoll(c *conn) {
+	e.setConnState(c, busy)
 	c.sentAt = e.now
-	e.cmds = append(e.cmds, Command{Kind: CommandAsk, Conn: c.id, Node: c.node.listed.Name})
+	e.cmds = append(e.cmds, Command{Kind: CommandAsk, Conn: c.id, Node: c.node.entry.Name})
 	n := c.node
-	if n.polled {
+	if n.pollPending {
 		return
 	}
 	at := e.now
 	e.timers.Set(e.now+e.cfg.PollTimeout, func(time.Duration) {
-		if c.state == busy && c.sentAt == at && !n.polled {
-			e.lost(c, true)
+		if c.state == busy && c.sentAt == at && !n.pollPending {
+			e.removeConn(c, true)
 		}
 	})
 }
 
-// asked takes the answer of a prober.
-func (e *Engine) asked(c *conn, r *Result) {
+// pollAnswered handles the result of an exchange on a prober.
+func (e *Engine) pollAnswered(c *conn, r *Result) {
 	n := c.node
 	if r.End == EndAnswered {
-		e.become(c, idle)
+		e.setConnState(c, idle)
 		c.usedAt = e.now
 	} else {
-		e.lost(c, false)
+		e.removeConn(c, false)
 	}
-	defer e.unprobe(n)
-	if !n.polled {
-		e.volunteers(n, r, c.sentAt)
+	defer e.lendProber(n)
+	if !n.pollPending {
+		e.reportNewPrimary(n, r, c.sentAt)
 		return
 	}
-	if r.End == EndAnswered && e.asksAgain(n, r.Facts) {
+	if r.End == EndAnswered && e.repoll(n, r.Facts) {
 		return
 	}
 	ev := balance.Event{Outcome: Judge(r).Outcome, Age: e.now - c.sentAt}
 	switch {
 	case ev.Outcome != balance.OutcomeOK:
 	case r.Facts.Known:
-		ev.Outcome, ev.Report = e.report(n, r.Facts, c.sentAt)
-	case !c.asksOfForgotten():
+		ev.Outcome, ev.Report = e.pollReport(n, r.Facts, c.sentAt)
+	case !c.predatesForget():
 		ev.Outcome = balance.OutcomeError
-	} // else the node is up, and nothing is known of it
+	} // else the node is reachable and nothing else is known of it
 	e.pollEnded(n, ev)
 }
 
-// volunteers tells the module of a primary that it did not ask for and does not know.
-func (e *Engine) volunteers(n *node, r *Result, sentAt time.Duration) {
-	if r.End != EndAnswered || !r.Facts.Known || r.Facts.Replica || n.slice.primary != n || n.slice.told == n {
+// reportNewPrimary reports to the router a primary that it does not know, found by a poll that the router did not
+// request.
+func (e *Engine) reportNewPrimary(n *node, r *Result, sentAt time.Duration) {
+	if r.End != EndAnswered || !r.Facts.Known || r.Facts.Replica || n.slice.primary != n || n.slice.reportedPrimary == n {
 		return
 	}
 	ev := balance.Event{Kind: balance.EventPoll, Server: n.id, Age: e.now - sentAt}
-	ev.Outcome, ev.Report = e.report(n, r.Facts, sentAt)
-	e.told(n, &ev)
-	e.tell(ev)
+	ev.Outcome, ev.Report = e.pollReport(n, r.Facts, sentAt)
+	e.trackReportedPrimary(n, &ev)
+	e.notifyRouter(ev)
 }
 
-// told notes whom the module was told to be primary.
-func (e *Engine) told(n *node, ev *balance.Event) {
+// trackReportedPrimary keeps track of which node the router takes for primary.
+func (e *Engine) trackReportedPrimary(n *node, ev *balance.Event) {
 	switch {
 	case ev.Report.HasRole && ev.Report.Primary || ev.Role == balance.RolePrimary:
-		n.slice.told = n
-	case n.slice.told == n && (ev.Report.HasRole || ev.Role == balance.RoleReplica || ev.Kind == balance.EventPoll):
-		n.slice.told = nil
+		n.slice.reportedPrimary = n
+	case n.slice.reportedPrimary == n && (ev.Report.HasRole || ev.Role == balance.RoleReplica || ev.Kind == balance.EventPoll):
+		n.slice.reportedPrimary = nil
 	}
 }
 
 func (e *Engine) pollEnded(n *node, ev balance.Event) {
-	if !n.polled {
+	if !n.pollPending {
 		return
 	}
-	n.polled, n.pollWaits = false, false
+	n.pollPending, n.pollQueued = false, false
 	ev.Kind, ev.Server = balance.EventPoll, n.id
-	e.told(n, &ev)
-	e.tell(ev)
+	e.trackReportedPrimary(n, &ev)
+	e.notifyRouter(ev)
 }
 
-// learn takes note of what a node told of itself.
-func (e *Engine) learn(n *node, f Facts, sentAt time.Duration, poll bool) {
+// recordFacts records what a node reported: its clock, its entry in the ledger, and the slice's log positions.
+// Positions from a stale primary or another cluster are left out, as they would make replicas look more recent
+// than they are.
+func (e *Engine) recordFacts(n *node, f Facts, sentAt time.Duration, poll bool) {
 	s := n.slice
 	e.reached(n)
 	if f.Standbys == nil {
-		f.Standbys = n.facts.Standbys // only polls tell them
+		f.Standbys = n.facts.Standbys // only polls report them
 	}
-	if f.Clock > 0 && sentAt >= n.clock.asked {
+	if f.Clock > 0 && sentAt >= n.clock.sentAt {
 		n.clock = nodeClock{f.Clock, sentAt}
 	}
 	n.facts = f
@@ -143,7 +147,7 @@
 	if poll {
 		channel = topology.Poll
 	}
-	e.hears(n, f, sentAt, channel)
+	e.updateLedger(n, f, sentAt, channel)
 	if n.deposed(f) {
 		return
 	}
@@ -155,12 +159,14 @@
 		return
 	}
 	if s.clock.Primary(f.Position, sentAt, e.now) && s.primary == n {
-		e.lossAt(s, f.Position)
+		e.recordLoss(s, f.Position)
 	}
 }
 
-// stands is the module's position of a node: the present for a primary, what is proven for a replica.
-func (e *Engine) stands(n *node, f Facts, sentAt time.Duration) (time.Duration, bool) {
+// provenTime returns a node's position as the router counts it, a time as of which the node has all commits: for a
+// primary, when it was asked; for a replica, what the slice's clock proves. It is false if the node has no such
+// position.
+func (e *Engine) provenTime(n *node, f Facts, sentAt time.Duration) (time.Duration, bool) {
 	s := n.slice
 	switch {
 	case !f.Known || n.deposed(f):
@@ -170,29 +176,29 @@
 	}
 	by, ok := s.clock.AppliedBy(f.Position)
 	if !ok || by <= e.cfg.Router.Origin {
-		// It was heard, and nothing of it is proven. Without a place the module would go on waiting for its
-		// first word, and hold reads that the primary could serve.
+		// Nothing is proven about it. Without a position the router would go on waiting for its first report, and
+		// hold reads that the primary could serve.
 		return 1, true
 	}
-	s.proven = max(s.proven, by)
+	s.provenAsOf = max(s.provenAsOf, by)
 	return by - e.cfg.Router.Origin, true
 }
 
-// report is what a poll's answer tells the module. A superseded primary counts as one that failed: it must
-// get nothing, and there is no place in time at which it stands.
-func (e *Engine) report(n *node, f Facts, sentAt time.Duration) (balance.Outcome, balance.Report) {
-	if n.slice.topo.Standing(n.listed.Name) == topology.Rival {
-		return balance.OutcomeOK, balance.Report{} // it is up, and may hold office again without a start
+// pollReport converts the reply to a poll for the router. A stale primary counts as a failed node, as it may get
+// no requests and its position is no point in the slice's log.
+func (e *Engine) pollReport(n *node, f Facts, sentAt time.Duration) (balance.Outcome, balance.Report) {
+	if n.slice.topo.Standing(n.entry.Name) == topology.Rival {
+		return balance.OutcomeOK, balance.Report{} // reachable, and may hold office again without a restart
 	}
 	if n.deposed(f) {
 		return balance.OutcomeError, balance.Report{}
 	}
-	at, ok := e.stands(n, f, sentAt)
+	at, ok := e.provenTime(n, f, sentAt)
 	return balance.OutcomeOK, balance.Report{Valid: true, HasRole: true, Primary: !f.Replica, HasPosition: ok, Position: at}
 }
 
-// facts puts into an outcome what the answer told.
-func (e *Engine) facts(ev *balance.Event, q *request, n *node, f Facts, sentAt time.Duration) {
+// addFacts adds to an outcome the role and position from the reply.
+func (e *Engine) addFacts(ev *balance.Event, q *request, n *node, f Facts, sentAt time.Duration) {
 	if !f.Known {
 		return
 	}
@@ -203,18 +209,19 @@
 	if !e.cfg.Router.Positions {
 		return
 	}
-	if at, ok := e.stands(n, f, sentAt); ok {
+	if at, ok := e.provenTime(n, f, sentAt); ok {
 		ev.Position = at
 		if ev.Outcome == balance.OutcomeOK && q.class.Need == balance.NeedWrite {
-			ev.Position += time.Millisecond // commits are told rounded up; the module takes that off again
+			ev.Position += time.Millisecond // commit times are reported rounded up; the router subtracts this
 		}
 	}
 }
 
-// fits tells whether a read's answer is as new as its class and token ask. The facts are those asked for
-// before the read on the same connection, so that what it saw is at least that new.
-func (e *Engine) fits(q *request, n *node, f Facts, sentAt time.Duration) bool {
-	if !f.Known || n.deposed(f) || !q.slice.reaches(f, q.need) || !q.slice.reaches(f, q.told) {
+// satisfies reports whether a read's answer is as recent as its class and token require. It guards against stale
+// reads, from replica lag or a stale primary. The facts were read before the read on the same connection, so that
+// the read saw at least their position.
+func (e *Engine) satisfies(q *request, n *node, f Facts, sentAt time.Duration) bool {
+	if !f.Known || n.deposed(f) || !q.slice.reaches(f, q.need) || !q.slice.reaches(f, q.tokenNeed) {
 		return false
 	}
 	switch q.class.Need {
@@ -230,26 +237,28 @@
 	return true
 }
 
-// covers tells whether a node that stands where f says has, and shows, what need asks for. A place of an older
-// timeline that survived lies before the promotion, and so in every member of the newer one that has come as far.
+// covers reports whether a node with these facts has, and shows, what need requires. A position of an older
+// timeline that survived lies before the promotion, and so in every node of the newer timeline that has come as
+// far.
 func covers(f Facts, need position.Position) bool {
-	stand := f.stand()
+	visible := f.visiblePosition()
 	switch {
 	case need.IsZero():
 		return true
 	case need.IsPresent():
-		return !f.Replica && stand.Transactions.Covers(need.Transactions)
+		return !f.Replica && visible.Transactions.Covers(need.Transactions)
 	case need.LSN == position.Unknown:
-		return !f.Replica && f.Position.Timeline >= need.Timeline && stand.Transactions.Covers(need.Transactions)
+		return !f.Replica && f.Position.Timeline >= need.Timeline && visible.Transactions.Covers(need.Transactions)
 	}
-	return stand.Covers(need)
+	return visible.Covers(need)
 }
 
-// stand is the place with the transactions that are shown there. A replica shows all that its log has up to its place.
-// A primary does not: between a commit's record and the end of its transaction, microseconds on most servers and as
-// long as synchronous standbys take on others, replicas may show a commit that the primary does not. So a primary
-// shows no more than the transactions that it told to be over, and none that a replica may have shown if it told nothing.
-func (f *Facts) stand() position.Position {
+// visiblePosition returns the node's position with the transactions visible there. A replica shows everything in
+// its log up to its position. A primary does not: between a commit's record and the end of its transaction,
+// microseconds on most servers and as long as synchronous standbys take on others, replicas may show a commit that
+// the primary does not. So a primary shows no more than the transactions that it reported as finished, and none
+// that a replica may have shown if it reported nothing.
+func (f *Facts) visiblePosition() position.Position {
 	at := f.Position
 	if f.Replica {
 		at.Transactions = position.AllTransactions
@@ -257,23 +266,27 @@
 	return at
 }
 
-// Holds is a place that an answer read after these facts holds for certain, whoever asks and whenever they saw it.
-// At a primary a commit's record is in the log before the commit shows. Whoever was told of a commit was told a
-// place asked for after it showed; if that lies before this one, it showed before this one was asked for. If the
-// two are equal it may not have, so a primary's answer holds what lies before its place, and a replica's all up to it.
-// That its reader asked for that very place changes nothing: another's token of the same place may stand for more.
-func (f *Facts) Holds() position.Position {
-	at := f.stand()
+// LowerBound returns a position such that an answer read after these facts shows everything at or before it, for any
+// reader at any time.
+//
+// At a primary a commit's record is in the log before the commit is visible. The token of whoever saw the commit
+// has a position that was read after it became visible. If that position lies before this one, the commit was
+// visible before this one was read; if they are equal, it may not have been. So a primary's answer shows
+// everything before its position, and a replica's everything up to it. That the reader asked for this very
+// position makes no difference: another token with the same position may stand for more.
+func (f *Facts) LowerBound() position.Position {
+	at := f.visiblePosition()
 	if !f.Replica && at.LSN > 0 {
 		at.LSN--
 	}
 	return at
 }
 
-// Shows is a place that covers all that an answer read before these facts can have shown. A replica shows a commit
-// a moment before its own place moves beyond the record, longer if the record has files to drop: where there was
-// log left to replay, the record under way counts as shown. On a primary the log runs ahead of what shows.
-func (f *Facts) Shows() position.Position {
+// UpperBound returns a position that covers everything an answer read before these facts can have shown. A replica
+// shows a commit shortly before its position moves past the record, and longer before if the record drops files:
+// if there was log left to replay, the record in replay counts as shown. On a primary the log is ahead of what is
+// visible.
+func (f *Facts) UpperBound() position.Position {
 	at := f.Position
 	if !f.Replica {
 		at.Transactions = position.Transactions{}
@@ -281,13 +294,13 @@
 	}
 	at.Transactions = f.Shown
 	if f.Received > at.LSN {
-		at.LSN++ // the least place of whoever has replayed the record that begins here
+		at.LSN++ // the lowest position of a node that has replayed the record starting here
 	}
 	return at
 }
 
-// reaches is covers for a node of a slice: a replica that is proven to have come into a newer timeline has all
-// that the older one kept, wherever it stood.
+// reaches is covers for a node of this slice: a replica that is proven to have entered a newer timeline has
+// everything that the older one kept, even if the needed position is unknown.
 func (s *slice) reaches(f Facts, need position.Position) bool {
 	if need.LSN == position.Unknown && !need.IsPresent() && f.Replica && f.Position.Timeline > need.Timeline {
 		_, proven := s.clock.AppliedBy(f.Position)
--- a/driver/rig_test.go
+++ b/driver/harness_test.go
@@ -42,39 +42,39 @@
 	classStats
 )
 
-// fakeNode is what a node does in a rig: connections come up at once and exchanges wait for the test, but
-// questions for facts are answered at once unless it is silent.
+// fakeNode is a node in a harness: dials succeed at once, polls are answered at once, and requests wait for the
+// test to answer them.
 type fakeNode struct {
-	facts  Facts
-	silent bool
-	deaf   bool // no connection comes up
-	room   int  // connections that it takes, others are turned away; 0 for any number
-}
-
-// rig drives an engine by hand in virtual time.
-type rig struct {
-	t       *testing.T
-	e       *Engine
-	now     time.Duration
-	nodes   map[string]*fakeNode
-	connAt  map[ConnID]string
-	sends   []Command // exchanges of requests that wait for their result
-	answers map[RequestID][]Answer
-	log     []string
-	lines   []string // for operators
-	lastReq RequestID
-	pending []Event
-	stopped bool
-	closed  map[ConnID]bool // that the shell was told to close
-}
-
-func newRig(t *testing.T, cfg Config, nodes map[string]Facts) *rig {
+	facts       Facts
+	silent      bool // polls are not answered
+	unreachable bool // dials are not answered
+	maxConns    int  // connections accepted; more are refused as full; 0 for no limit
+}
+
+// harness drives an engine step by step in virtual time.
+type harness struct {
+	t        *testing.T
+	e        *Engine
+	now      time.Duration
+	nodes    map[string]*fakeNode
+	connAt   map[ConnID]string
+	sends    []Command // exchanges of requests without a result yet
+	answers  map[RequestID][]Answer
+	commands []string
+	logLines []string // texts of CommandLog
+	lastReq  RequestID
+	pending  []Event
+	stopped  bool
+	closed   map[ConnID]bool // connections that CommandClose closed
+}
+
+func newHarness(t *testing.T, cfg Config, nodes map[string]Facts) *harness {
 	t.Helper()
 	e, err := New(cfg, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &rig{t: t, e: e, now: time.Hour, nodes: map[string]*fakeNode{}, connAt: map[ConnID]string{}, answers: map[RequestID][]Answer{}, closed: map[ConnID]bool{}}
+	r := &harness{t: t, e: e, now: time.Hour, nodes: map[string]*fakeNode{}, connAt: map[ConnID]string{}, answers: map[RequestID][]Answer{}, closed: map[ConnID]bool{}}
 	var list []Node
 	for _, name := range []string{"p", "r1", "r2"} {
 		if f, ok := nodes[name]; ok {
@@ -92,27 +92,27 @@
 func primary(p position.Position) Facts { return Facts{Known: true, Position: p} }
 func replica(p position.Position) Facts { return Facts{Known: true, Replica: true, Position: p} }
 
-func (r *rig) step(events ...Event) {
-	r.do(r.e.Step(r.now, append(r.pending, events...), nil))
+func (r *harness) step(events ...Event) {
+	r.execute(r.e.Step(r.now, append(r.pending, events...), nil))
 	for len(r.pending) > 0 {
 		events := r.pending
 		r.pending = nil
-		r.do(r.e.Step(r.now, events, nil))
+		r.execute(r.e.Step(r.now, events, nil))
 	}
 }
 
-func (r *rig) do(cmds []Command) {
+func (r *harness) execute(cmds []Command) {
 	r.pending = nil
 	for _, c := range cmds {
 		switch c.Kind {
 		case CommandDial:
 			n := r.nodes[c.Node]
-			if n.room > 0 && r.open(c.Node) >= n.room {
+			if n.maxConns > 0 && r.openConns(c.Node) >= n.maxConns {
 				r.pending = append(r.pending, Event{Kind: EventDialed, Conn: c.Conn, Dial: &DialError{Err: errFull{}, Full: true}})
 				break
 			}
 			r.connAt[c.Conn] = c.Node
-			if !n.deaf {
+			if !n.unreachable {
 				r.pending = append(r.pending, Event{Kind: EventDialed, Conn: c.Conn})
 			}
 		case CommandAsk:
@@ -130,18 +130,18 @@
 				r.t.Errorf("request %d has %d final answers", c.Request, n)
 			}
 		case CommandLog:
-			r.lines = append(r.lines, c.Text)
+			r.logLines = append(r.logLines, c.Text)
 		case CommandClose:
 			r.closed[c.Conn] = true
 		case CommandStopped:
 			r.stopped = true
 		}
-		r.log = append(r.log, fmt.Sprintf("%v kind %d conn %d request %d node %s", r.now, c.Kind, c.Conn, c.Request, c.Node))
+		r.commands = append(r.commands, fmt.Sprintf("%v kind %d conn %d request %d node %s", r.now, c.Kind, c.Conn, c.Request, c.Node))
 	}
 }
 
-// open is how many connections a node has taken that were not closed.
-func (r *rig) open(node string) (n int) {
+// openConns returns the number of a node's connections that are not closed.
+func (r *harness) openConns(node string) (n int) {
 	for id, at := range r.connAt {
 		if at == node && !r.closed[id] {
 			n++
@@ -150,8 +150,8 @@
 	return n
 }
 
-// run lets time pass, waking the engine when it wants.
-func (r *rig) run(d time.Duration) {
+// run advances the time by d and calls Step at each timer of the engine.
+func (r *harness) run(d time.Duration) {
 	for end := r.now + d; ; {
 		at, ok := r.e.Wake()
 		if !ok || at > end {
@@ -163,15 +163,15 @@
 	}
 }
 
-func (r *rig) ask(class int, tok token.Token) RequestID {
+func (r *harness) request(class int, tok token.Token) RequestID {
 	r.lastReq++
 	r.step(Event{Kind: EventRequest, Request: r.lastReq, Ask: Ask{Class: class, Slice: "news", Session: "s",
 		Token: tok, Deadline: r.now + r.e.cfg.Router.Classes[class].Deadline}})
 	return r.lastReq
 }
 
-// sent is the exchange of a request that waits for its result; it fails the test if there is none.
-func (r *rig) sent(id RequestID) Command {
+// sent removes and returns a request's exchange without a result yet; it fails the test if there is none.
+func (r *harness) sent(id RequestID) Command {
 	r.t.Helper()
 	for i, c := range r.sends {
 		if c.Request == id {
@@ -183,7 +183,7 @@
 	return Command{}
 }
 
-func (r *rig) isSent(id RequestID) bool {
+func (r *harness) isSent(id RequestID) bool {
 	for _, c := range r.sends {
 		if c.Request == id {
 			return true
@@ -192,16 +192,16 @@
 	return false
 }
 
-func (r *rig) result(c Command, res Result) {
+func (r *harness) result(c Command, res Result) {
 	r.step(Event{Kind: EventResult, Conn: c.Conn, Result: res})
 }
 
-// reply ends an exchange well, with the facts that its node stands for.
-func (r *rig) reply(c Command) {
+// reply ends an exchange successfully, with its node's facts.
+func (r *harness) reply(c Command) {
 	r.result(c, Result{Began: true, Done: true, Facts: r.nodes[c.Node].facts, After: r.nodes[c.Node].facts})
 }
 
-func (r *rig) answer(id RequestID) Answer {
+func (r *harness) answer(id RequestID) Answer {
 	r.t.Helper()
 	if len(r.answers[id]) != 1 {
 		r.t.Fatalf("request %d has %d final answers", id, len(r.answers[id]))
@@ -209,8 +209,9 @@
 	return r.answers[id][0]
 }
 
-// quiet lets everything end and checks that nothing is left behind.
-func (r *rig) quiet() {
+// checkIdle ends all exchanges, advances the time by a minute, and checks that no request or connection is still
+// counted as in use.
+func (r *harness) checkIdle() {
 	r.t.Helper()
 	for _, c := range r.sends {
 		r.result(c, Result{End: EndBroken})
@@ -218,11 +219,11 @@
 	r.sends = nil
 	r.run(time.Minute)
 	if len(r.e.requests) > 0 || r.e.held != 0 {
-		r.t.Errorf("%d requests known, %d held after all was quiet", len(r.e.requests), r.e.held)
+		r.t.Errorf("%d requests known, %d held after everything ended", len(r.e.requests), r.e.held)
 	}
 	for _, n := range r.e.nodes {
 		if n.Busy != 0 || n.Dials != 0 || len(n.queue) != 0 || len(n.Idle) != 0 {
-			r.t.Errorf("node %s: %d busy, %d dials, %d queued, %d idle after all was quiet", n.listed.Name, n.Busy, n.Dials, len(n.queue), len(n.Idle))
+			r.t.Errorf("node %s: %d busy, %d dials, %d queued, %d idle after everything ended", n.entry.Name, n.Busy, n.Dials, len(n.queue), len(n.Idle))
 		}
 	}
 }
--- a/driver/life.go
+++ b/driver/life.go
@@ -2,108 +2,111 @@
 
 import "fmt"
 
-// The life of connections and attempts. Nothing sets a state but through become and goes, which take no move that does not
-// stand in these tables; docs/life.md has the same tables with what brings each move about, and a test compares them.
+// Connections and attempts are state machines. Their states are set only by setConnState and setAttemptState,
+// which report every transition that is not in these tables. docs/life.md has the same tables with the cause of
+// each transition, and a test compares them.
 
-// Move is a legal change of state.
+// Move is a legal transition of a connection or an attempt: Of is "connection" or "attempt", From and To are state
+// names.
 type Move struct{ Of, From, To string }
 
-var connNames = [...]string{"dialing", "idle", "busy", "lingering", "dead"}
+var connStateNames = [...]string{"dialing", "idle", "busy", "lingering", "dead"}
 
-var connMoves = [len(connNames)][len(connNames)]bool{
+var connTransitions = [len(connStateNames)][len(connStateNames)]bool{
 	dialing:   {idle: true, dead: true},
 	idle:      {busy: true, dead: true},
 	busy:      {idle: true, lingering: true, dead: true},
 	lingering: {idle: true, dead: true},
 }
 
-var attemptNames = [...]string{"waiting", "sent", "over"}
+var attemptStateNames = [...]string{"waiting", "sent", "over"}
 
-var attemptMoves = [len(attemptNames)][len(attemptNames)]bool{
+var attemptTransitions = [len(attemptStateNames)][len(attemptStateNames)]bool{
 	waiting: {sent: true, over: true},
 	sent:    {over: true},
 }
 
-// Moves are all legal moves, connections first.
+// Moves returns all legal transitions, connections first.
 func Moves() (all []Move) {
-	for from := range connMoves {
-		for to, legal := range connMoves[from] {
+	for from := range connTransitions {
+		for to, legal := range connTransitions[from] {
 			if legal {
-				all = append(all, Move{"connection", connNames[from], connNames[to]})
+				all = append(all, Move{"connection", connStateNames[from], connStateNames[to]})
 			}
 		}
 	}
-	for from := range attemptMoves {
-		for to, legal := range attemptMoves[from] {
+	for from := range attemptTransitions {
+		for to, legal := range attemptTransitions[from] {
 			if legal {
-				all = append(all, Move{"attempt", attemptNames[from], attemptNames[to]})
+				all = append(all, Move{"attempt", attemptStateNames[from], attemptStateNames[to]})
 			}
 		}
 	}
 	return all
 }
 
-// life counts the moves that were made.
-type life struct {
-	conns    [len(connNames)][len(connNames)]uint64
-	attempts [len(attemptNames)][len(attemptNames)]uint64
+// transitions counts the transitions made.
+type transitions struct {
+	conns    [len(connStateNames)][len(connStateNames)]uint64
+	attempts [len(attemptStateNames)][len(attemptStateNames)]uint64
 	illegal  []string
 }
 
-// mostIllegal is how many illegal moves are kept.
-const mostIllegal = 10
+// maxIllegal is how many illegal transitions are kept.
+const maxIllegal = 10
 
-// become moves a connection to another state. A move that is none is told, and made: the engine goes on.
-func (e *Engine) become(c *conn, to connState) {
-	if !connMoves[c.state][to] {
-		e.strange("connection %d goes from %s to %s", c.id, connNames[c.state], connNames[to])
+// setConnState sets a connection's state. An illegal transition is logged and made anyway: the engine keeps
+// running.
+func (e *Engine) setConnState(c *conn, to connState) {
+	if !connTransitions[c.state][to] {
+		e.reportIllegal("connection %d goes from %s to %s", c.id, connStateNames[c.state], connStateNames[to])
 	}
 	e.life.conns[c.state][to]++
 	c.state = to
 }
 
-// goes moves an attempt likewise.
-func (e *Engine) goes(a *attempt, to attemptState) {
-	if !attemptMoves[a.state][to] {
-		e.strange("attempt %d of request %d goes from %s to %s", a.number, a.request.id, attemptNames[a.state], attemptNames[to])
+// setAttemptState sets an attempt's state, like setConnState.
+func (e *Engine) setAttemptState(a *attempt, to attemptState) {
+	if !attemptTransitions[a.state][to] {
+		e.reportIllegal("attempt %d of request %d goes from %s to %s", a.number, a.request.id, attemptStateNames[a.state], attemptStateNames[to])
 	}
 	e.life.attempts[a.state][to]++
 	a.state = to
 }
 
-func (e *Engine) strange(format string, args ...any) {
-	text := "illegal move: " + fmt.Sprintf(format, args...)
-	if len(e.life.illegal) < mostIllegal {
+func (e *Engine) reportIllegal(format string, args ...any) {
+	text := "illegal state transition: " + fmt.Sprintf(format, args...)
+	if len(e.life.illegal) < maxIllegal {
 		e.life.illegal = append(e.life.illegal, text)
 	}
 	e.cmds = append(e.cmds, Command{Kind: CommandLog, Text: text + "; please report it"})
 }
 
-// Illegal are the first illegal moves that were made, which should be none.
+// Illegal returns descriptions of the first illegal transitions, ten at most; nil if there were none.
 func (e *Engine) Illegal() []string { return e.life.illegal }
 
-// Moved counts the moves made so far.
+// Moved returns how many times each transition was made, illegal ones included.
 func (e *Engine) Moved() map[Move]uint64 {
 	all := map[Move]uint64{}
 	for from := range e.life.conns {
 		for to, n := range e.life.conns[from] {
 			if n > 0 {
-				all[Move{"connection", connNames[from], connNames[to]}] = n
+				all[Move{"connection", connStateNames[from], connStateNames[to]}] = n
 			}
 		}
 	}
 	for from := range e.life.attempts {
 		for to, n := range e.life.attempts[from] {
 			if n > 0 {
-				all[Move{"attempt", attemptNames[from], attemptNames[to]}] = n
+				all[Move{"attempt", attemptStateNames[from], attemptStateNames[to]}] = n
 			}
 		}
 	}
 	return all
 }
 
-// Sound recounts what the engine keeps counts of, and tells the first that is wrong. It is for tests and explorers: it
-// walks all there is.
+// Sound recounts connections, attempts and requests, and returns an error for the first count the engine has
+// wrong. It is for tests and model checking: it walks the whole state.
 func (e *Engine) Sound() error {
 	type count struct{ busy, dials, idle int }
 	counts := map[*node]*count{}
@@ -112,7 +115,7 @@
 	}
 	for _, c := range e.conns {
 		switch k := counts[c.node]; {
-		case c.probes:
+		case c.isProber:
 		case c.state == idle:
 			k.idle++
 		default:
@@ -123,24 +126,24 @@
 	}
 	for n, k := range counts {
 		if n.Busy != k.busy || n.Dials != k.dials || len(n.Idle) != k.idle {
-			return fmt.Errorf("node %s counts %d busy, %d dialling, %d idle connections; there are %d, %d, %d", n.listed.Name, n.Busy, n.Dials, len(n.Idle), k.busy, k.dials, k.idle)
+			return fmt.Errorf("node %s counts %d busy, %d dialling, %d idle connections; there are %d, %d, %d", n.entry.Name, n.Busy, n.Dials, len(n.Idle), k.busy, k.dials, k.idle)
 		}
 	}
 	held, waiting := 0, map[*slice]int{}
 	for id, q := range e.requests {
 		if !q.done {
-			if held++; q.out == 0 {
+			if held++; q.inFlight == 0 {
 				waiting[q.slice]++
 			}
 		}
-		out := 0
+		inFlight := 0
 		for _, a := range q.attempts {
 			if a.state != over {
-				out++
+				inFlight++
 			}
 		}
-		if out != q.out {
-			return fmt.Errorf("request %d counts %d attempts out; there are %d", id, q.out, out)
+		if inFlight != q.inFlight {
+			return fmt.Errorf("request %d counts %d attempts in flight; there are %d", id, q.inFlight, inFlight)
 		}
 	}
 	if held != e.held {
--- a/driver/life_test.go
+++ b/driver/life_test.go
@@ -8,13 +8,13 @@
 	"umberladder/token"
 )
 
-// TestLifeIsDocumented: docs/life.md has the same moves as the code.
-func TestLifeIsDocumented(t *testing.T) {
+// TestTransitionsAreDocumented: docs/life.md has the same transitions as the code.
+func TestTransitionsAreDocumented(t *testing.T) {
 	text, err := os.ReadFile("../docs/life.md")
 	if err != nil {
 		t.Fatal(err)
 	}
-	told, of := map[Move]bool{}, ""
+	documented, of := map[Move]bool{}, ""
 	for _, line := range strings.Split(string(text), "\n") {
 		cells := strings.Split(line, " | ")
 		switch first := strings.TrimPrefix(cells[0], "| "); {
@@ -23,34 +23,34 @@
 		case first == "connection" || first == "attempt":
 			of = first
 		case of != "" && first != "---":
-			told[Move{of, first, cells[1]}] = true
+			documented[Move{of, first, cells[1]}] = true
 		}
 	}
 	for _, m := range Moves() {
-		if !told[m] {
+		if !documented[m] {
 			t.Errorf("%v is not in docs/life.md", m)
 		}
-		delete(told, m)
+		delete(documented, m)
 	}
-	for m := range told {
-		t.Errorf("docs/life.md has %v, which is none", m)
+	for m := range documented {
+		t.Errorf("docs/life.md has %v, which is no legal transition", m)
 	}
 }
 
-// TestIllegalMoveIsTold, counted, and the engine goes on.
-func TestIllegalMoveIsTold(t *testing.T) {
-	r := newRig(t, testConfig(), fleetFacts())
+// TestIllegalTransitionIsLogged: it is logged and kept, and the engine keeps running.
+func TestIllegalTransitionIsLogged(t *testing.T) {
+	r := newHarness(t, testConfig(), fleetFacts())
 	c := r.e.byKey[nodeKey{"p", "p:1", "news", 0}].prober
-	r.e.become(c, dialing)
-	r.e.become(c, idle)
-	id := r.ask(classWrite, token.Token{})
+	r.e.setConnState(c, dialing)
+	r.e.setConnState(c, idle)
+	id := r.request(classWrite, token.Token{})
 	if r.reply(r.sent(id)); r.answer(id).Status != Served {
-		t.Error("it does not go on")
+		t.Error("the engine does not continue")
 	}
 	if all := r.e.Illegal(); len(all) != 1 || !strings.Contains(all[0], "goes from idle to dialing") {
 		t.Errorf("%q", all)
 	}
 	if r.e.Moved()[Move{"connection", "dialing", "idle"}] == 0 {
-		t.Error("legal moves are not counted")
+		t.Error("legal transitions are not counted")
 	}
 }
--- a/driver/outcome.go
+++ b/driver/outcome.go
@@ -4,89 +4,89 @@
 	"umberladder/balance"
 )
 
-// SQLSTATEs that say more than "the statement failed". docs/outcomes.md has the whole table.
+// SQLSTATEs that tell more than that the statement failed. docs/outcomes.md has the whole table.
 const (
-	stateReadOnly    = "25006" // read_only_sql_transaction: a replica was asked to write
-	stateTooMany     = "53300" // too_many_connections
-	stateNotNow      = "57P03" // cannot_connect_now: starting up, shutting down, in recovery
-	stateShutdown    = "57P01" // admin_shutdown
-	stateCrash       = "57P02" // crash_shutdown
-	stateCanceled    = "57014" // query_canceled
-	stateConflict    = "40001" // serialization_failure; on a replica also a conflict with recovery
-	stateDeadlock    = "40P01" // deadlock_detected; on a replica likewise
-	stateDropped     = "57P04" // database_dropped
-	stateIdleTimeout = "57P05" // idle_session_timeout
+	codeReadOnlyTransaction  = "25006" // read_only_sql_transaction: a replica was asked to write
+	codeTooManyConnections   = "53300" // too_many_connections
+	codeCannotConnectNow     = "57P03" // cannot_connect_now: starting up, shutting down, in recovery
+	codeAdminShutdown        = "57P01" // admin_shutdown
+	codeCrashShutdown        = "57P02" // crash_shutdown
+	codeQueryCanceled        = "57014" // query_canceled
+	codeSerializationFailure = "40001" // serialization_failure; on a replica also a conflict with recovery
+	codeDeadlockDetected     = "40P01" // deadlock_detected; on a replica likewise
+	codeDatabaseDropped      = "57P04" // database_dropped
+	codeIdleSessionTimeout   = "57P05" // idle_session_timeout
 )
 
-// Verdict is what an exchange means to the module.
-type Verdict struct {
+// Classification is the router's view of an exchange's result.
+type Classification struct {
 	Outcome balance.Outcome
-	Answers bool // the node's answer, rows or its error, is the client's answer
+	Answers bool // the node's reply, rows or its error, is the answer to the client
 }
 
-// Judge maps the end of an exchange to the module's outcome. It is the one place where that is settled:
+// Judge maps the result of an exchange to the router's outcome. No other code decides this:
 //
 //	not written                            ConnectFailed   nothing ran
-//	broken before the node took it up,
+//	broken before the node started it,
 //	  by a shutdown that it announced      ConnectFailed   nothing ran
-//	broken otherwise, answer not complete  Reset           may have run
-//	broken after the commit was answered   OK              the answer stands, only its position is missing
+//	broken otherwise, answer incomplete    Reset           may have run
+//	broken after the commit was answered   OK              the answer is valid, only its position is missing
 //	the guard before a write               Miss            not primary, or too late; nothing ran
 //	25006                                  Miss            a replica was asked to write; nothing ran
-//	53300, 57P03                           Full            not accepting; nothing ran
-//	57014                                  Cancelled       ended at somebody's wish
-//	40001, 40P01 of a replica              Error           conflict with recovery; reads may go elsewhere
-//	any other to the driver's own question Error          the node can't be asked; nothing ran
+//	53300, 57P03                           Full            no connections accepted; nothing ran
+//	57014                                  Cancelled       cancelled on request
+//	40001, 40P01 of a replica              Error           conflict with recovery; reads may go to another node
+//	any other to the driver's own query    Error           the node can't report its facts; nothing ran
 //	classes 53, 57, 58, XX                 Error           the node is in trouble
 //	any other error                        OK              the statement's own; its transaction was rolled back
 //	none                                   OK
-func Judge(r *Result) Verdict {
+func Judge(r *Result) Classification {
 	if r.Done {
-		return Verdict{balance.OutcomeOK, true}
+		return Classification{balance.OutcomeOK, true}
 	}
 	if r.Guarded && !r.Began {
-		return Verdict{Outcome: balance.OutcomeMiss}
+		return Classification{Outcome: balance.OutcomeMiss}
 	}
 	if r.Err == nil {
 		switch r.End {
 		case EndNotSent:
-			return Verdict{Outcome: balance.OutcomeConnectFailed}
+			return Classification{Outcome: balance.OutcomeConnectFailed}
 		case EndBroken:
-			return Verdict{Outcome: balance.OutcomeReset}
+			return Classification{Outcome: balance.OutcomeReset}
 		}
-		return Verdict{balance.OutcomeOK, true}
+		return Classification{balance.OutcomeOK, true}
 	}
-	return judgeError(r)
+	return classifyError(r)
 }
 
-func judgeError(r *Result) Verdict {
+func classifyError(r *Result) Classification {
 	switch code := r.Err.Code; code {
-	case stateReadOnly:
-		return Verdict{Outcome: balance.OutcomeMiss}
-	case stateTooMany, stateNotNow:
-		return Verdict{Outcome: balance.OutcomeFull}
-	case stateShutdown, stateCrash, stateDropped, stateIdleTimeout:
+	case codeReadOnlyTransaction:
+		return Classification{Outcome: balance.OutcomeMiss}
+	case codeTooManyConnections, codeCannotConnectNow:
+		return Classification{Outcome: balance.OutcomeFull}
+	case codeAdminShutdown, codeCrashShutdown, codeDatabaseDropped, codeIdleSessionTimeout:
 		if !r.Began {
-			return Verdict{Outcome: balance.OutcomeConnectFailed}
+			return Classification{Outcome: balance.OutcomeConnectFailed}
 		}
-		return Verdict{Outcome: balance.OutcomeReset}
-	case stateCanceled:
-		return Verdict{Outcome: balance.OutcomeCancelled}
-	case stateConflict, stateDeadlock:
+		return Classification{Outcome: balance.OutcomeReset}
+	case codeQueryCanceled:
+		return Classification{Outcome: balance.OutcomeCancelled}
+	case codeSerializationFailure, codeDeadlockDetected:
 		if r.Asking || r.Facts.Known && r.Facts.Replica {
-			return Verdict{Outcome: balance.OutcomeError}
+			return Classification{Outcome: balance.OutcomeError}
 		}
 	default:
 		if r.Asking {
-			return Verdict{Outcome: balance.OutcomeError}
+			return Classification{Outcome: balance.OutcomeError}
 		}
 		switch code[:2] {
 		case "53", "57", "58", "XX":
-			return Verdict{Outcome: balance.OutcomeError}
+			return Classification{Outcome: balance.OutcomeError}
 		}
 	}
 	if r.End == EndBroken {
-		return Verdict{Outcome: balance.OutcomeReset}
+		return Classification{Outcome: balance.OutcomeReset}
 	}
-	return Verdict{balance.OutcomeOK, true}
+	return Classification{balance.OutcomeOK, true}
 }
--- a/driver/outcome_test.go
+++ b/driver/outcome_test.go
@@ -18,10 +18,10 @@
 		answers bool
 	}{
 		{"not written", Result{End: EndNotSent}, balance.OutcomeConnectFailed, false},
-		{"cut before anything came back", Result{End: EndBroken}, balance.OutcomeReset, false},
-		{"cut in the midst of the answer", Result{End: EndBroken, Began: true}, balance.OutcomeReset, false},
-		{"cut after the commit was answered", Result{End: EndBroken, Began: true, Done: true}, balance.OutcomeOK, true},
-		{"whole", Result{Began: true, Done: true}, balance.OutcomeOK, true},
+		{"disconnected before any reply", Result{End: EndBroken}, balance.OutcomeReset, false},
+		{"disconnected during the answer", Result{End: EndBroken, Began: true}, balance.OutcomeReset, false},
+		{"disconnected after the commit was answered", Result{End: EndBroken, Began: true, Done: true}, balance.OutcomeOK, true},
+		{"complete", Result{Began: true, Done: true}, balance.OutcomeOK, true},
 		{"a poll's answer", Result{Facts: replica}, balance.OutcomeOK, true},
 		{"a replica asked to write", Result{Began: true, Err: sql("25006")}, balance.OutcomeMiss, false},
 		{"the guard before a write", Result{Guarded: true, Asking: true, Err: sql("22012")}, balance.OutcomeMiss, false},
--- a/driver/sessions.go
+++ b/driver/sessions.go
@@ -8,60 +8,61 @@
 	"umberladder/position"
 )
 
-// sessionCost is what one remembered session takes beside its names, in bytes: measured, rounded up.
+// sessionCost is the memory of one tracked session beside its names, in bytes, rounded up.
 const sessionCost = 200
 
-// sessions remembers, where the driver itself follows sessions, how far each has written or seen. What has
-// to make room is not lost: unless every member has passed it, it raises a floor that then holds for all
-// sessions of its slice that are not remembered.
+// sessions tracks, where the driver itself follows sessions, the position up to which each has written or seen.
+// Evicting one loses no guarantee: unless every node has passed its position, that raises its slice's floor, which
+// holds for all sessions not tracked.
 type sessions struct {
-	known *simplelru.LRU[sessionKey, sessionAt]
-	bytes int
-	most  int // bytes
-	floor map[string]position.Position
-	// guarded are slices whose floor is not known yet: sessions that are not remembered may have written through
-	// an earlier life of this driver, so they ask for the present until the primary was heard.
-	guarded bool
-	begun   time.Duration
-	lift    func(slice string, since time.Duration) (position.Position, bool) // a place heard of the primary after a time
-	passed  func(slice string, at position.Position) bool                     // every member stands there or beyond
+	tracked  *simplelru.LRU[sessionKey, trackedSession]
+	bytes    int
+	maxBytes int // limit, in bytes
+	floor    map[string]position.Position
+	// floorUnknown is set after a restart without complete state: an untracked session may have written through
+	// the earlier run, so it requires the latest position until the primary has reported one.
+	floorUnknown bool
+	restoredAt   time.Duration
+	lift         func(slice string, since time.Duration) (position.Position, bool) // a position that the primary reported after a time
+	passed       func(slice string, at position.Position) bool                     // whether every node is at or beyond a position
 }
 
 type sessionKey struct{ slice, session string }
 
-type sessionAt struct {
-	at   position.Position
-	last time.Duration // when it wrote last
+type trackedSession struct {
+	at       position.Position
+	lastUsed time.Duration // last read or write
 }
 
 func (k sessionKey) cost() int { return len(k.slice) + len(k.session) + sessionCost }
 
-func newSessions(most int) *sessions {
-	lru, err := simplelru.NewLRU[sessionKey, sessionAt](1<<31-1, nil)
+func newSessions(maxBytes int) *sessions {
+	lru, err := simplelru.NewLRU[sessionKey, trackedSession](1<<31-1, nil)
 	if err != nil {
 		panic(err) // only for a size below one
 	}
-	return &sessions{known: lru, most: max(most, 1), floor: map[string]position.Position{}}
+	return &sessions{tracked: lru, maxBytes: max(maxBytes, 1), floor: map[string]position.Position{}}
 }
 
-// saw takes note of what a session has seen or done up to.
-func (s *sessions) saw(slice, session string, at position.Position, now time.Duration) {
+// observe records a position up to which a session has read or written, and evicts the least recently used
+// sessions over the memory limit.
+func (s *sessions) observe(slice, session string, at position.Position, now time.Duration) {
 	key := sessionKey{slice, session}
-	known, again := s.known.Get(key)
-	if !again {
+	known, tracked := s.tracked.Get(key)
+	if !tracked {
 		s.bytes += key.cost()
 	}
-	s.known.Add(key, sessionAt{known.at.Join(at), now})
-	for s.bytes > s.most && s.known.Len() > 0 {
+	s.tracked.Add(key, trackedSession{known.at.Join(at), now})
+	for s.bytes > s.maxBytes && s.tracked.Len() > 0 {
 		s.evict()
 	}
 }
 
 func (s *sessions) evict() {
-	key, known, _ := s.known.RemoveOldest()
+	key, known, _ := s.tracked.RemoveOldest()
 	s.bytes -= key.cost()
 	if known.at.LSN == position.Unknown {
-		if at, ok := s.lift(key.slice, known.last); ok {
+		if at, ok := s.lift(key.slice, known.lastUsed); ok {
 			known.at = at
 		}
 	}
@@ -70,14 +71,14 @@
 	}
 }
 
-// needs is the place that a read of the session must see, the zero Position for none.
-func (s *sessions) needs(slice, session string) position.Position {
-	if known, ok := s.known.Get(sessionKey{slice, session}); ok {
+// required returns the position that a read of the session must see, the zero Position for none.
+func (s *sessions) required(slice, session string) position.Position {
+	if known, ok := s.tracked.Get(sessionKey{slice, session}); ok {
 		return known.at.Join(s.floor[slice])
 	}
 	floor := s.floor[slice]
-	if s.guarded {
-		at, ok := s.lift(slice, s.begun)
+	if s.floorUnknown {
+		at, ok := s.lift(slice, s.restoredAt)
 		if !ok {
 			return position.Present
 		}
@@ -86,33 +87,34 @@
 	return floor
 }
 
-// SessionState is what a driver knows of sessions, for another life of it.
+// SessionState is the tracked sessions, to be kept for the next run of the driver.
 type SessionState struct {
 	Sessions []SessionPlace               `cbor:"1,keyasint"`
 	Floors   map[string]position.Position `cbor:"2,keyasint"`
 }
 
-// SessionPlace is how far the writes of a session have come in a slice.
+// SessionPlace is the position up to which a session has written or seen a slice.
 type SessionPlace struct {
 	Slice   string            `cbor:"1,keyasint"`
 	Session string            `cbor:"2,keyasint"`
 	At      position.Position `cbor:"3,keyasint"`
 }
 
-// Sessions is what the engine knows of sessions, the least recently used first.
+// Sessions returns the tracked sessions, the least recently used first, and the slices' floors. The result shares
+// the floors with the engine.
 func (e *Engine) Sessions() *SessionState {
 	st := &SessionState{Floors: e.sessions.floor}
-	for _, key := range e.sessions.known.Keys() {
-		known, _ := e.sessions.known.Peek(key)
+	for _, key := range e.sessions.tracked.Keys() {
+		known, _ := e.sessions.tracked.Peek(key)
 		st.Sessions = append(st.Sessions, SessionPlace{key.slice, key.session, known.at})
 	}
 	return st
 }
 
-// restore takes over what an earlier life knew. Without it, or with one that may lack the newest writes, every
-// session that is not remembered is guarded.
-func (s *sessions) restore(st *SessionState, whole bool, now time.Duration) {
-	s.guarded, s.begun = !whole, now
+// restore loads the sessions of an earlier run. Without complete state the floors are unknown: otherwise an
+// untracked session might not see its own writes.
+func (s *sessions) restore(st *SessionState, complete bool, now time.Duration) {
+	s.floorUnknown, s.restoredAt = !complete, now
 	if st == nil {
 		return
 	}
@@ -120,6 +122,6 @@
 		s.floor[slice] = at
 	}
 	for _, p := range st.Sessions {
-		s.saw(p.Slice, p.Session, p.At, now)
+		s.observe(p.Slice, p.Session, p.At, now)
 	}
 }
--- a/driver/state.go
+++ b/driver/state.go
@@ -10,31 +10,31 @@
 type NodeState struct {
 	Name, Slice, Address, Hall string
 	Life                       balance.Life
-	Heard                      time.Duration // when it told of itself last, on the engine's clock; 0 for never
-	Facts                      Facts         // what it told then
-	Failing                    time.Duration // since when it could not be reached or asked; 0 if it can
-	Why                        string        // what stood in the way last
+	Heard                      time.Duration // last answer, on the engine's clock; 0 for none
+	Facts                      Facts         // reported then
+	Failing                    time.Duration // since when it can't be reached, on the engine's clock; 0 if it can
+	Why                        string        // the last error that kept it from being reached
 }
 
-// Nodes lists all nodes that are not gone, in order of first mention.
+// Nodes returns all listed nodes, in order of first appearance.
 func (e *Engine) Nodes() []NodeState {
 	var all []NodeState
-	for _, n := range e.listed() {
-		if n.listed.Life == balance.LifeGone {
+	for _, n := range e.nodesInOrder() {
+		if n.entry.Life == balance.LifeGone {
 			continue
 		}
-		all = append(all, NodeState{Name: n.listed.Name, Slice: n.slice.name, Address: n.listed.Address, Hall: n.listed.Hall,
-			Life: n.listed.Life, Heard: n.heard, Facts: n.facts, Failing: n.failing, Why: n.why})
+		all = append(all, NodeState{Name: n.entry.Name, Slice: n.slice.name, Address: n.entry.Address, Hall: n.entry.Hall,
+			Life: n.entry.Life, Heard: n.lastAnswer, Facts: n.facts, Failing: n.failingSince, Why: n.failure})
 	}
 	return all
 }
 
-// reached takes note that a node answered.
-func (e *Engine) reached(n *node) { n.heard, n.failing, n.why = e.now, 0, "" }
+// reached records that a node answered.
+func (e *Engine) reached(n *node) { n.lastAnswer, n.failingSince, n.failure = e.now, 0, "" }
 
-// unreached takes note that a node could not be connected to or asked. It stays in the list, and nothing waits for it.
-func (e *Engine) unreached(n *node, why string) {
-	if n.why = why; n.failing == 0 {
-		n.failing = e.now
+// unreached records why a node could not be reached. It stays listed, and nothing waits for it.
+func (e *Engine) unreached(n *node, failure string) {
+	if n.failure = failure; n.failingSince == 0 {
+		n.failingSince = e.now
 	}
 }
--- a/driver/suspect.go
+++ b/driver/suspect.go
@@ -7,71 +7,74 @@
 	"umberladder/topology"
 )
 
-// The module asks nodes on timers that back off, and sooner where work waits for a primary. A driver without such work
-// would learn of a promotion late. So whatever casts doubt on a primary (a broken or refused connection to it, a
-// refusal to write, a replica that lost it, a newer term) starts rounds of questions to all nodes of the slice, shared
-// by all requests, until somebody holds office by an answer that was asked for since. A round goes out within
-// the time that one may take, drawn, so that many drivers spread theirs; rounds grow rarer, and end after doubtFor.
+// The router polls nodes on timers with backoff, and sooner while requests wait for a primary. A driver without
+// such requests would detect a promotion late. So any evidence against a primary (a failed or refused connection
+// to it, a refused write, a replica that lost it, a newer term) starts rounds of polls of all nodes of the slice,
+// shared by all requests, until a node holds office by an answer to a later poll. The first round starts after a
+// random part of the pause between rounds, so that many drivers spread theirs; the pauses grow, and the rounds end
+// after maxSuspicion.
 const (
-	doubtFor   = 15 * time.Second
-	leastRound = 50 * time.Millisecond
-	mostRound  = time.Second
-	roundEach  = 5 * time.Millisecond // of a round's time, for each driver there is
-	roundGrow  = 1.25
+	maxSuspicion        = 15 * time.Second
+	minRoundPause       = 50 * time.Millisecond
+	maxRoundPause       = time.Second
+	roundPausePerDriver = 5 * time.Millisecond // part of the pause per driver
+	roundPauseGrowth    = 1.25
 )
 
-// doubt is a slice whose primary is in doubt.
-type doubt struct {
+// suspicion is the state of the poll rounds while a slice's primary is in doubt.
+type suspicion struct {
 	since time.Duration // 0 for none
 	pause time.Duration // until the next round
 }
 
-// suspect starts rounds of questions, unless they are under way.
+// suspect starts poll rounds unless they are running. It guards against detecting a promotion late.
 func (e *Engine) suspect(s *slice) {
-	if s.doubt.since > 0 || !e.cfg.Router.Probing {
+	if s.suspicion.since > 0 || !e.cfg.Router.Probing {
 		return
 	}
-	s.doubt = doubt{since: e.now, pause: min(max(roundEach*time.Duration(e.cfg.Router.Routers), leastRound), mostRound)}
+	s.suspicion = suspicion{since: e.now, pause: min(max(roundPausePerDriver*time.Duration(e.cfg.Router.Routers), minRoundPause), maxRoundPause)}
 	first := time.Duration(0)
 	if e.cfg.Router.Routers > 1 {
-		first = time.Duration(e.rng.Float64() * float64(s.doubt.pause))
+		first = time.Duration(e.rng.Float64() * float64(s.suspicion.pause))
 	}
-	e.timers.Set(e.now+first, func(time.Duration) { e.round(s) })
+	e.timers.Set(e.now+first, func(time.Duration) { e.pollRound(s) })
 }
 
-// round asks every node of a slice that can be asked at once, and sees to the next round.
-func (e *Engine) round(s *slice) {
-	if e.settled(s) || e.now-s.doubt.since > doubtFor || e.stopped {
-		s.doubt = doubt{}
+// pollRound polls every node of a slice that can be polled at once, and schedules the next round.
+func (e *Engine) pollRound(s *slice) {
+	if e.primaryConfirmed(s) || e.now-s.suspicion.since > maxSuspicion || e.stopped {
+		s.suspicion = suspicion{}
 		return
 	}
 	for _, n := range s.nodes {
-		if n.listed.Life == balance.LifeGone || n.polled {
+		if n.entry.Life == balance.LifeGone || n.pollPending {
 			continue
 		}
-		if !e.quiet(n) && n.prober == nil && !n.waitsToPoll() {
+		if !e.pollOnIdle(n) && n.prober == nil && !n.queuePoll() {
 			n.prober = e.dial(n, true)
 		}
 	}
-	e.timers.Set(e.now+s.doubt.pause, func(time.Duration) { e.round(s) })
-	s.doubt.pause = time.Duration(float64(s.doubt.pause) * roundGrow)
+	e.timers.Set(e.now+s.suspicion.pause, func(time.Duration) { e.pollRound(s) })
+	s.suspicion.pause = time.Duration(float64(s.suspicion.pause) * roundPauseGrowth)
 }
 
-// settled tells whether somebody holds office by an answer to a question asked since the doubt began.
-func (e *Engine) settled(s *slice) bool {
+// primaryConfirmed reports whether a node holds office by an answer to a poll sent since the suspicion began. An
+// earlier answer may come from a primary that has failed since.
+func (e *Engine) primaryConfirmed(s *slice) bool {
 	if s.primary == nil {
 		return false
 	}
 	for _, entry := range s.topo.Entries() {
-		if entry.Node == s.primary.listed.Name {
-			return entry.Standing == topology.Office && entry.Claim.Sent >= s.doubt.since
+		if entry.Node == s.primary.entry.Name {
+			return entry.Standing == topology.Office && entry.Claim.Sent >= s.suspicion.since
 		}
 	}
 	return false
 }
 
-// doubted starts rounds where what ended badly was a slice's primary.
-func (e *Engine) doubted(n *node) {
+// suspectPrimaryAt starts poll rounds after a failure at a node, if the node is its slice's primary or the slice
+// has none.
+func (e *Engine) suspectPrimaryAt(n *node) {
 	if n.slice.primary == n || n.slice.primary == nil {
 		e.suspect(n.slice)
 	}
--- a/driver/topology.go
+++ b/driver/topology.go
@@ -11,93 +11,95 @@
 	"umberladder/topology"
 )
 
-// What nodes say of themselves goes into a ledger (package topology) for each slice, and what follows from it reaches the
-// module as roles in the events that it knows. A node that does not stand as primary or replica of the slice gets
-// nothing from the moment at which the ledger says so, and what is out at it is settled by class.
+// What nodes report about themselves goes into one ledger per slice (package topology). Its verdict reaches the
+// router as roles in the usual events. A node that the ledger accepts neither as primary nor as replica of the
+// slice gets no requests from then on; what is in flight there is ended by class.
 
-// hears takes what a node told into the ledger and the clock of its slice, and acts on what changed by it.
-func (e *Engine) hears(n *node, f Facts, sentAt time.Duration, channel topology.Channel) {
+// updateLedger enters a node's report into its slice's ledger and acts on a changed verdict.
+func (e *Engine) updateLedger(n *node, f Facts, sentAt time.Duration, channel topology.Channel) {
 	s := n.slice
 	if f.System != 0 {
 		n.system = f.System
 	}
 	if channel == topology.Poll {
-		lost := n.upstream != "" && f.Replica && f.Upstream == ""
-		n.upstream = f.Upstream
-		if lost && s.topo.Verdict().Primary == e.followed(s, n.followed) {
+		lostUpstream := n.polledUpstream != "" && f.Replica && f.Upstream == ""
+		n.polledUpstream = f.Upstream
+		if lostUpstream && s.topo.Verdict().Primary == e.nameByAddress(s, n.knownUpstream) {
 			e.suspect(s)
 		}
 	}
-	if channel == topology.Answer && f.System == 0 && e.isNews(n, f) {
-		// What a node says anew without telling its cluster is asked for again before it counts.
-		n.doubtful = true
+	if channel == topology.Answer && f.System == 0 && e.contradictsLedger(n, f) {
+		// An answer that contradicts the ledger and names no cluster counts only after a poll has confirmed it.
+		n.unconfirmed = true
 		e.suspect(s)
-		e.ask(n)
+		e.pollNow(n)
 		return
 	}
 	if channel == topology.Poll {
-		n.doubtful = false
+		n.unconfirmed = false
 	}
-	c := topology.Claim{Node: n.listed.Name, Role: topology.Primary, Timeline: f.Position.Timeline, LSN: f.Position.LSN, System: n.system, Sent: sentAt, Heard: e.now, Channel: channel}
+	c := topology.Claim{Node: n.entry.Name, Role: topology.Primary, Timeline: f.Position.Timeline, LSN: f.Position.LSN, System: n.system, Sent: sentAt, Heard: e.now, Channel: channel}
 	if f.Replica {
 		c.Role = topology.Replica
 		if f.Upstream != "" || channel == topology.Poll {
-			n.followed = f.Upstream
+			n.knownUpstream = f.Upstream
 		}
-		c.Upstream = e.followed(s, n.followed)
+		c.Upstream = e.nameByAddress(s, n.knownUpstream)
 	}
 	was := s.topo.Verdict()
 	if s.topo.Hear(c) {
-		e.changed(s, was)
+		e.verdictChanged(s, was)
 	}
 }
 
-// isNews tells whether a node says of itself what would change the ledger, where its cluster was known.
-func (e *Engine) isNews(n *node, f Facts) bool {
+// contradictsLedger reports whether an answer without a cluster identifier would change the ledger, at a node
+// whose cluster is known. The node may have been replaced by one of another cluster, whose newer term would depose
+// the slice's primary.
+func (e *Engine) contradictsLedger(n *node, f Facts) bool {
 	if n.system == 0 {
 		return false
 	}
-	st := n.slice.topo.Standing(n.listed.Name)
+	standing := n.slice.topo.Standing(n.entry.Name)
 	if f.Position.Timeline > n.slice.topo.Verdict().Term {
 		return true
 	}
-	return !f.Replica && (st == topology.Follower || st == topology.Unheard)
+	return !f.Replica && (standing == topology.Follower || standing == topology.Unheard)
 }
 
-// ask asks a node at once, if a connection for that is free.
-func (e *Engine) ask(n *node) {
-	if !n.polled {
-		e.quiet(n)
+// pollNow polls a node at once if a connection for that is idle and no poll is pending.
+func (e *Engine) pollNow(n *node) {
+	if !n.pollPending {
+		e.pollOnIdle(n)
 	}
 }
 
-// followed is the name of the node of a slice that has an address, "" if none has.
-func (e *Engine) followed(s *slice, address string) string {
+// nameByAddress returns the name of the slice's node at an address, "" if there is none.
+func (e *Engine) nameByAddress(s *slice, address string) string {
 	if address == "" {
 		return ""
 	}
 	for _, n := range s.nodes {
-		if n.listed.Address == address {
-			return n.listed.Name
+		if n.entry.Address == address {
+			return n.entry.Name
 		}
 	}
 	return ""
 }
 
-// changed acts on a new verdict.
-func (e *Engine) changed(s *slice, was topology.Verdict) {
+// verdictChanged acts on a new verdict of a slice's ledger.
+func (e *Engine) verdictChanged(s *slice, was topology.Verdict) {
 	now := s.topo.Verdict()
 	if now.System != was.System && was.System != 0 {
-		s.clock = position.Clock{} // what another cluster told proves nothing
+		s.clock = position.Clock{} // positions of another cluster prove nothing
 	}
 	s.clock.Seen(now.Term)
 	s.primary = e.nodeNamed(s, now.Primary)
-	e.journal(s)
+	e.logLastChange(s)
 	if now.Term > was.Term && was.Term > 0 {
-		s.lossTold = 0
+		s.lossTimeline = 0
 	}
 	for _, n := range s.nodes {
-		if st := s.topo.Standing(n.listed.Name); !st.Takes() && st != topology.Rival {
+		if standing := s.topo.Standing(n.entry.Name); !standing.Takes() && standing != topology.Rival {
 			e.depose(n)
 		}
 	}
@@ -111,15 +113,15 @@
 		return nil
 	}
 	for _, n := range s.nodes {
-		if n.listed.Name == name && n.listed.Life != balance.LifeGone {
+		if n.entry.Name == name && n.entry.Life != balance.LifeGone {
 			return n
 		}
 	}
 	return nil
 }
 
-// journal has the newest change of a slice told to the operators, with its number in the slice's history.
-func (e *Engine) journal(s *slice) {
+// logLastChange logs the newest entry of a slice's history for operators, with its number.
+func (e *Engine) logLastChange(s *slice) {
 	h := s.topo.History()
 	if len(h) == 0 {
 		return
@@ -129,131 +131,137 @@
 		r.Claim.Node, position.Position{Timeline: r.Claim.Timeline, LSN: r.Claim.LSN})})
 }
 
-// depose ends what is out at a node that may get nothing: its answer would be of a history that was left. By their class
-// unsafe requests fail, keyed ones go out again within their window, reads elsewhere.
+// depose ends what is in flight at a node that may no longer get requests, as its answers would belong to an
+// abandoned timeline. Unsafe requests fail, keyed ones are resent within their window, reads move to another node.
 func (e *Engine) depose(n *node) {
-	var out []*conn
+	var inFlight []*conn
 	for _, c := range e.conns {
-		if c.node == n && c.state == busy && c.attempt != nil && !c.probes && !c.attempt.opened {
-			out = append(out, c)
+		if c.node == n && c.state == busy && c.attempt != nil && !c.isProber && !c.attempt.streaming {
+			inFlight = append(inFlight, c)
 		}
 	}
-	slices.SortFunc(out, func(a, b *conn) int { return int(a.id) - int(b.id) })
-	for _, c := range out {
-		e.recall(c)
+	slices.SortFunc(inFlight, func(a, b *conn) int { return int(a.id) - int(b.id) })
+	for _, c := range inFlight {
+		e.revoke(c)
 	}
-	e.barQueue(n)
-	e.disconnect(n)
+	e.rejectBlockedQueue(n)
+	e.closeIdle(n)
 	e.refill(n)
 }
 
-// recall ends what is out on a connection to a deposed node. Nothing is out twice: what may go out again does so once the
-// node was told to end it, and a keyed write once the node answered.
-func (e *Engine) recall(c *conn) {
+// revoke ends the exchange on a connection to a deposed node. It guards against running a request twice: a read is
+// resent only after a cancel was sent, a keyed write only once the node has replied.
+func (e *Engine) revoke(c *conn) {
 	a, reset := c.attempt, balance.Event{Outcome: balance.OutcomeReset, Role: balance.RoleReplica}
 	switch {
 	case a.request.class.Effect == balance.Unsafe:
-		e.lost(c, true)
-		e.ended(a, reset)
+		e.removeConn(c, true)
+		e.endAttempt(a, reset)
 	case a.request.class.Effect == balance.Keyed:
 		e.cancel(c)
 	case e.cfg.CancelWork:
 		e.abandon(a)
-		e.ended(a, reset)
+		e.endAttempt(a, reset)
 	}
 }
 
-// barred tells whether a node may get no attempt, by what it and others told last.
-func (n *node) barred() bool { return n.doubtful || !n.slice.topo.Standing(n.listed.Name).Takes() }
+// blocked reports whether a node may get no attempts by the latest reports, its own and those of other nodes. It
+// keeps requests from stale primaries and from nodes of another cluster.
+func (n *node) blocked() bool { return n.unconfirmed || !n.slice.topo.Standing(n.entry.Name).Takes() }
 
-// deposed tells whether what a node told is of one that takes itself for the primary and is not, or of another cluster.
+// deposed reports whether facts come from a stale primary, one that still reports itself as primary, or from a
+// node of another cluster.
 func (n *node) deposed(f Facts) bool {
 	if !f.Replica && f.Position.Timeline < n.slice.clock.Timeline() {
 		return true
 	}
-	return n.barred()
+	return n.blocked()
 }
 
-// lossAt notes what a promotion left out, by where the new primary was heard first and how far the old one was.
-func (e *Engine) lossAt(s *slice, p position.Position) {
-	if s.lossTold == p.Timeline || p.Timeline == 0 {
+// recordLoss records commits that a promotion lost: those between the fork and the old primary's last reported
+// position.
+func (e *Engine) recordLoss(s *slice, p position.Position) {
+	if s.lossTimeline == p.Timeline || p.Timeline == 0 {
 		return
 	}
-	s.lossTold = p.Timeline
+	s.lossTimeline = p.Timeline
 	fork, known := s.clock.Fork(p.Timeline - 1)
 	if !known {
-		fork = p.LSN // at the most; sessions are not told by it, as their tokens may lie a byte beyond what they saw
+		fork = p.LSN // upper bound, for operators only: tokens may lie one byte past what their sessions saw
 	}
-	if l, ok := s.topo.Beyond(p.Timeline-1, fork); ok {
-		s.topo.Lose(l, e.now)
-		e.journal(s)
+	if lost, ok := s.topo.Beyond(p.Timeline-1, fork); ok {
+		s.topo.Lose(lost, e.now)
+		e.logLastChange(s)
 	}
 }
 
-// bar keeps an attempt from a node that may get nothing, and tells whether it did. Nothing of it was written.
-func (e *Engine) bar(a *attempt) bool {
-	if !a.node.barred() {
+// rejectIfBlocked ends an attempt at a node that may get none and reports whether it did. Nothing was written.
+func (e *Engine) rejectIfBlocked(a *attempt) bool {
+	if !a.node.blocked() {
 		return false
 	}
-	e.ended(a, balance.Event{Outcome: balance.OutcomeMiss, Role: balance.RoleReplica})
+	e.endAttempt(a, balance.Event{Outcome: balance.OutcomeMiss, Role: balance.RoleReplica})
 	return true
 }
 
-// barQueue keeps what waits for a connection to a node from it if it may get nothing any more: it was deposed, or the grace
-// of its drain ended, while a connection was being opened.
-func (e *Engine) barQueue(n *node) {
+// rejectBlockedQueue ends the attempts that wait for a connection to a node that may no longer get them. Without
+// it they would be sent to a node that was deposed, or whose drain grace ended, while the connection was being
+// opened.
+func (e *Engine) rejectBlockedQueue(n *node) {
 	ev := balance.Event{Outcome: balance.OutcomeMiss, Role: balance.RoleReplica}
 	switch {
-	case n.barred():
-	case n.leaves > 0 && e.now-n.leaves >= e.cfg.Router.DrainGrace-2*e.cfg.Router.Round:
+	case n.blocked():
+	case n.leavingSince > 0 && e.now-n.leavingSince >= e.cfg.Router.DrainGrace-2*e.cfg.Router.Round:
 		ev = balance.Event{Outcome: balance.OutcomeFull}
 	default:
 		return
 	}
 	for _, a := range slices.Clone(n.queue) {
-		e.ended(a, ev)
+		e.endAttempt(a, ev)
 	}
 }
 
-// next is who waited longest for a connection to a node and may still go out, nil if nobody does.
-func (e *Engine) next(n *node) *attempt {
-	e.barQueue(n)
+// nextQueued returns the oldest queued attempt of a node that may still be sent, nil if there is none.
+func (e *Engine) nextQueued(n *node) *attempt {
+	e.rejectBlockedQueue(n)
 	for len(n.queue) > 0 {
 		a := n.queue[0]
-		if !e.tooLate(a) {
+		if !e.windowClosed(a) {
 			return a
 		}
-		e.ended(a, balance.Event{Outcome: balance.OutcomeMoot}) // its window closed while it waited
+		e.endAttempt(a, balance.Event{Outcome: balance.OutcomeMoot}) // the window closed while it was queued
 	}
 	return nil
 }
 
-// tooLate tells whether a keyed write waited for a connection until the window of an attempt that may have run was over.
-func (e *Engine) tooLate(a *attempt) bool {
+// windowClosed reports whether a keyed write was queued until the window of an earlier attempt that may have run
+// was over. After the window its key no longer protects against running twice.
+func (e *Engine) windowClosed(a *attempt) bool {
 	q := a.request
 	return q.class.Effect == balance.Keyed && slices.ContainsFunc(q.attempts, func(b *attempt) bool {
 		return b != a && b.sentAt > 0 && b.mayHaveRun() && e.now-b.sentAt >= q.class.Window-2*e.cfg.Router.Round
 	})
 }
 
-// guard is what a node must check before a write of an attempt runs.
-func (e *Engine) guard(a *attempt) Guard {
+// writeGuard returns what a node must check before the write of an attempt runs. It fences off a stale primary,
+// and a write that would start after its attempt's time limit.
+func (e *Engine) writeGuard(a *attempt) Guard {
 	g := Guard{Timeline: a.node.slice.clock.Timeline(), System: a.node.slice.topo.Verdict().System}
 	if n := a.node; n.clock.at > 0 && e.cfg.StartWithin > 0 {
-		within := min(e.cfg.StartWithin, a.until-e.now)
-		g.Until = n.clock.at + (e.now - n.clock.asked + within).Microseconds()
+		within := min(e.cfg.StartWithin, a.deadline-e.now)
+		g.Until = n.clock.at + (e.now - n.clock.sentAt + within).Microseconds()
 	}
 	return g
 }
 
-// nodeClock is a node's own clock: what it showed, in microseconds since 1970, in the answer to a question asked at a
-// time of the driver's.
+// nodeClock is a reading of a node's own clock: at, in microseconds since 1970, in the reply to an exchange sent
+// at sentAt on the engine's clock.
 type nodeClock struct {
-	at    int64
-	asked time.Duration
+	at     int64
+	sentAt time.Duration
 }
 
-// Topology is what of the ledgers outlives the driver.
+// Topology returns the ledgers' state to be kept for the next run of the driver.
 func (e *Engine) Topology() *topology.State {
 	st := &topology.State{}
 	for _, name := range e.sliceNames() {
@@ -271,7 +279,7 @@
 	return names
 }
 
-// SliceView is a slice's ledger, for operators.
+// SliceView is a copy of one slice's ledger, for operators.
 type SliceView struct {
 	Name    string
 	Verdict topology.Verdict
@@ -279,7 +287,7 @@
 	History []topology.Record
 }
 
-// Ledgers are those of all slices, by name.
+// Ledgers returns the ledgers of all slices, sorted by name.
 func (e *Engine) Ledgers() (all []SliceView) {
 	for _, name := range e.sliceNames() {
 		s := e.slices[name]
@@ -288,7 +296,8 @@
 	return all
 }
 
-// Fence has a node never be primary, or lifts that.
+// Fence excludes a node from being primary until it is called with on false. It returns an error if no listed node
+// has the name.
 func (e *Engine) Fence(name string, on bool) error {
 	for _, s := range e.slices {
 		if e.nodeNamed(s, name) == nil {
@@ -296,44 +305,45 @@
 		}
 		was := s.topo.Verdict()
 		s.topo.Fence(name, on, e.now)
-		e.changed(s, was)
+		e.verdictChanged(s, was)
 		e.suspect(s)
 		return nil
 	}
-	return fmt.Errorf("no node is named %s; there are %s", name, e.someNames())
+	return fmt.Errorf("no node is named %s; known nodes: %s", name, e.sampleNames())
 }
 
-func (e *Engine) someNames() string {
+func (e *Engine) sampleNames() string {
 	var names []string
-	for _, n := range e.listed() {
-		if n.listed.Life != balance.LifeGone && len(names) < 10 {
-			names = append(names, n.listed.Name)
+	for _, n := range e.nodesInOrder() {
+		if n.entry.Life != balance.LifeGone && len(names) < 10 {
+			names = append(names, n.entry.Name)
 		}
 	}
 	return strings.Join(names, ", ")
 }
 
-// Forget drops what is known of a slice, after it was restored by hand.
+// Forget discards what is known of a slice, for use after a manual restore: the primary, positions and terms. It
+// returns an error if no slice has the name.
 func (e *Engine) Forget(name string) error {
 	s := e.slices[name]
 	if s == nil {
-		return fmt.Errorf("no slice is named %s; there are %s", name, strings.Join(e.sliceNames(), ", "))
+		return fmt.Errorf("no slice is named %s; known slices: %s", name, strings.Join(e.sliceNames(), ", "))
 	}
 	s.clock = position.Clock{}
 	s.primary = nil
 	s.forgotten = e.now
 	for _, n := range s.nodes {
-		n.facts, n.system, n.upstream, n.followed = Facts{}, 0, "", ""
+		n.facts, n.system, n.polledUpstream, n.knownUpstream = Facts{}, 0, "", ""
 	}
 	s.topo.Forget(e.now)
-	e.journal(s)
+	e.logLastChange(s)
 	e.suspect(s)
 	return nil
 }
 
-// restored joins what an earlier life knew of a slice: terms that were seen, and who was fenced. It refuses, and proves
-// nothing.
-func (e *Engine) restored(s *slice) {
+// restoreSlice loads what an earlier run recorded of a slice: terms and fenced nodes, so that a restarted driver does
+// not write at a stale primary. They only block nodes and make none primary.
+func (e *Engine) restoreSlice(s *slice) {
 	if e.cfg.Topology == nil {
 		return
 	}
