--- a/driver/engine_test.go
+++ b/driver/engine_test.go
@@ -448,7 +448,7 @@
 }
 
 // TestSnapshotOfSessions: after a restart with complete state, sessions see their writes; without, every session
-// requires the latest position until the primary has reported one.
+// requires the latest position until the primary has reported one, and positions in an incomplete state still apply.
 func TestSnapshotOfSessions(t *testing.T) {
 	cfg := testConfig()
 	cfg.DriverSessions, cfg.SessionBytes, cfg.SessionsWhole = true, 1<<20, true
--- a/driver/topology.go
+++ b/driver/topology.go
@@ -309,7 +309,7 @@
 		e.suspect(s)
 		return nil
 	}
-	return fmt.Errorf("no node is named %s; known nodes: %s", name, e.sampleNames())
+	return fmt.Errorf("no node is named %s; there are %s", name, e.sampleNames())
 }
 
 func (e *Engine) sampleNames() string {
@@ -327,7 +327,7 @@
 func (e *Engine) Forget(name string) error {
 	s := e.slices[name]
 	if s == nil {
-		return fmt.Errorf("no slice is named %s; known slices: %s", name, strings.Join(e.sliceNames(), ", "))
+		return fmt.Errorf("no slice is named %s; there are %s", name, strings.Join(e.sliceNames(), ", "))
 	}
 	s.clock = position.Clock{}
 	s.primary = nil
