--- a/driver/engine.go
+++ b/driver/engine.go
@@ -59,7 +59,7 @@
 const (
 	TokenlessAccept  Tokenless = iota // treat the session as one without writes
 	TokenlessPrimary                  // require the latest position, as at the primary
-	TokenlessRefuse                   // refuse it with CauseTokenless
+	TokenlessRefuse                   // refuse the request
 )
 
 // Engine is the state of one driver. It is not safe for concurrent use. It reads no clock, starts no goroutine and
--- a/driver/engine_test.go
+++ b/driver/engine_test.go
@@ -480,7 +480,7 @@
 }
 
 // TestWithoutToken: a read without a token is treated by its class's policy, and one whose token was lost in
-// transit at least as strictly as by TokenlessPrimary.
+// transit at least as strictly as by requiring the latest position.
 func TestWithoutToken(t *testing.T) {
 	for policy, want := range map[Tokenless]string{TokenlessAccept: "replica", TokenlessPrimary: "p", TokenlessRefuse: "refused"} {
 		for _, lost := range []bool{false, true} {
--- a/driver/event.go
+++ b/driver/event.go
@@ -76,7 +76,7 @@
 
 // The kinds of event, each with the fields it uses.
 const (
-	EventRequest EventKind = iota // Request, Ask: a client sent a request
+	EventRequest EventKind = iota // Request and its parameters: a client sent a request
 	EventLeft                     // Request: its client disconnected
 	EventDialed                   // Conn: it is open, or Dial says why not
 	EventResult                   // Conn, Result: its exchange ended
@@ -127,7 +127,7 @@
 	CommandClose                        // close Conn, whatever is in flight on it
 	CommandOpen                         // pass the streamed answer on Conn to the client of Request
 	CommandAnswer                       // send the final answer of Request
-	CommandSubscribe                    // deliver the node list and its changes as EventList
+	CommandSubscribe                    // deliver the node list and its changes as events
 	CommandLog                          // log Text for operators
 	CommandStopped                      // after EventStop: no request is open
 )
@@ -184,7 +184,7 @@
 		"too many requests come again; do not try this one again"}[c]
 }
 
-// Answer is a final answer or, with CommandOpen, the beginning of a streamed one.
+// Answer is a final answer or the beginning of a streamed one.
 type Answer struct {
 	Status     Status
 	Cause      Cause         // of a refusal or failure
--- a/driver/outcome_test.go
+++ b/driver/outcome_test.go
@@ -7,7 +7,7 @@
 	"umberladder/pgwire"
 )
 
-// TestOutcomes has a case for each row of the table at Judge.
+// TestOutcomes has a case for each row of the outcome table in outcome.go.
 func TestOutcomes(t *testing.T) {
 	sql := func(code string) *pgwire.Error { return &pgwire.Error{Severity: "ERROR", Code: code, Message: "m"} }
 	replica := Facts{Known: true, Replica: true}
