--- a/internal/inbox/inbox.go
+++ b/internal/inbox/inbox.go
@@ -1,4 +1,4 @@
-// Package inbox hands what many goroutines learn to the one that decides.
+// Package inbox passes events from many goroutines to one event loop.
 package inbox
 
 import (
@@ -6,26 +6,26 @@
 	"time"
 )
 
-// Inbox collects events for a loop. Putting never blocks: what bounds it is that each connection has one
-// exchange and each client's request one event under way. It is safe for concurrent use.
+// Inbox collects events for an event loop. Put never blocks; the number of events is bounded by one per connection's
+// exchange and one per client request. It is safe for concurrent use.
 type Inbox[E any] struct {
 	mu     sync.Mutex
 	events []E
-	since  time.Time     // when the first of them came
-	ready  chan struct{} // holds one signal while there is something
+	oldest time.Time     // arrival of the oldest event
+	ready  chan struct{} // holds one signal while there are events
 }
 
-// New makes an empty inbox.
+// New returns an empty inbox.
 func New[E any]() *Inbox[E] { return &Inbox[E]{ready: make(chan struct{}, 1)} }
 
-// Ready gives a signal when there is something to drain.
+// Ready returns a channel that receives a signal when there are events to drain.
 func (in *Inbox[E]) Ready() <-chan struct{} { return in.ready }
 
-// Put adds an event.
+// Put adds an event. It does not block.
 func (in *Inbox[E]) Put(ev E) {
 	in.mu.Lock()
 	if len(in.events) == 0 {
-		in.since = time.Now()
+		in.oldest = time.Now()
 	}
 	in.events = append(in.events, ev)
 	in.mu.Unlock()
@@ -35,14 +35,14 @@
 	}
 }
 
-// Drain takes all that has come in, leaving the slice given for what comes next, and tells how long the first of it
-// has waited.
+// Drain returns all events and how long the oldest has waited, and keeps the empty slice for the next ones. It does not
+// block.
 func (in *Inbox[E]) Drain(empty []E) ([]E, time.Duration) {
 	in.mu.Lock()
 	defer in.mu.Unlock()
 	events, waited := in.events, time.Duration(0)
 	if len(events) > 0 {
-		waited = time.Since(in.since)
+		waited = time.Since(in.oldest)
 	}
 	in.events = empty[:0]
 	return events, waited
--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -1,17 +1,17 @@
-// Package pool keeps the books of the connections to one node: the idle ones, the one used last to be used next, and how
-// many there are beside them.
+// Package pool does the accounting of the connections to one node: the idle ones, reused last in first out, and the number
+// of the others.
 package pool
 
 import "slices"
 
-// Pool is the connections to a node. The zero Pool has none; it is not safe for concurrent use.
+// Pool counts the connections to a node. The zero Pool is empty; it is not safe for concurrent use.
 type Pool[C comparable] struct {
-	Idle  []C // the one used last at the end
-	Busy  int // that are not idle, being opened included
-	Dials int // that are being opened
+	Idle  []C // the most recently used last
+	Busy  int // connections that are not idle, including those being opened
+	Dials int // connections being opened
 }
 
-// Len is how many connections there are, being opened included.
+// Len returns the number of connections, including those being opened.
 func (p *Pool[C]) Len() int { return p.Busy + len(p.Idle) }
 
 // Dial counts a connection that is being opened.
@@ -20,10 +20,10 @@
 	p.Dials++
 }
 
-// Up counts one of them as open. It is busy until it is put.
+// Up counts a connection that was being opened as open. It stays busy until Put.
 func (p *Pool[C]) Up() { p.Dials-- }
 
-// Take makes the idle connection that was used last a busy one; false if there is none.
+// Take removes the most recently used idle connection and counts it as busy; false if none is idle.
 func (p *Pool[C]) Take() (c C, ok bool) {
 	k := len(p.Idle)
 	if k == 0 {
@@ -35,16 +35,16 @@
 	return c, true
 }
 
-// Put makes a busy connection an idle one.
+// Put makes a busy connection idle.
 func (p *Pool[C]) Put(c C) {
 	p.Busy--
 	p.Idle = append(p.Idle, c)
 }
 
-// Drop takes an idle connection out.
+// Drop removes an idle connection.
 func (p *Pool[C]) Drop(c C) { p.Idle = slices.DeleteFunc(p.Idle, func(i C) bool { return i == c }) }
 
-// Lose takes a busy connection out, which may be one that is being opened.
+// Lose removes a busy connection; dialing if it was being opened.
 func (p *Pool[C]) Lose(dialing bool) {
 	if p.Busy--; dialing {
 		p.Dials--
--- a/internal/sock/sock.go
+++ b/internal/sock/sock.go
@@ -1,5 +1,5 @@
-// Package sock reads and writes TCP sockets past package net's own waiting: it never waits to write, and while it
-// waits to read it holds no memory.
+// Package sock provides non-blocking operations on TCP sockets: writes that never block, and reads that hold no buffer
+// while they wait.
 package sock
 
 import (
@@ -15,19 +15,20 @@
 	"umberladder/pgwire"
 )
 
-// Socket is a connection with ways that do not wait.
+// Socket is a net.Conn with non-blocking operations.
 type Socket struct {
 	net.Conn
-	raw   syscall.RawConn // nil for what is no socket of the system
-	gate  sync.Locker
-	heard func()
+	raw      syscall.RawConn // nil if the connection has no file descriptor
+	readLock sync.Locker
+	onRead   func()
 }
 
-// Gate has each patient read that brings something call heard, both under a lock. Who holds the lock then knows whether
-// what is not in the socket any more was heard of.
-func (s *Socket) Gate(gate sync.Locker, heard func()) { s.gate, s.heard = gate, heard }
+// OnRead sets a function that is called when a read into a shared buffer returns bytes, with lock held from before that read
+// until after the call. Thus a holder of lock knows of all bytes that are no longer in the socket's buffer. OnRead must not be
+// called during a read.
+func (s *Socket) OnRead(lock sync.Locker, read func()) { s.readLock, s.onRead = lock, read }
 
-// New makes a Socket of a connection.
+// New returns a Socket for nc. Without a file descriptor the non-blocking operations do nothing.
 func New(nc net.Conn) *Socket {
 	s := &Socket{Conn: nc}
 	if sc, ok := nc.(syscall.Conn); ok {
@@ -36,14 +37,14 @@
 	return s
 }
 
-// TryWrite writes what the system takes now. A full socket is no error.
+// TryWrite writes as many bytes as the socket's buffer accepts, without blocking. A full buffer is not an error.
 func (s *Socket) TryWrite(b []byte) (n int, err error) {
 	if s.raw == nil {
 		return 0, nil
 	}
 	if e := s.raw.Write(func(fd uintptr) bool {
 		n, err = syscall.Write(int(fd), b)
-		return true // never wait for the socket
+		return true // do not wait until the socket is writable
 	}); e != nil {
 		err = e
 	}
@@ -53,22 +54,22 @@
 	return max(n, 0), err
 }
 
-// Quiet tells whether nothing waits to be read, no end either.
-func (s *Socket) Quiet() bool {
+// WouldBlock reports whether a read would block: neither bytes nor the peer's end are pending.
+func (s *Socket) WouldBlock() bool {
 	if s.raw == nil {
 		return true
 	}
-	quiet := false
+	blocks := false
 	var one [1]byte
 	err := s.raw.Control(func(fd uintptr) {
 		_, _, e := syscall.Recvfrom(int(fd), one[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		quiet = errors.Is(e, syscall.EAGAIN) || errors.Is(e, syscall.EINTR)
+		blocks = errors.Is(e, syscall.EAGAIN) || errors.Is(e, syscall.EINTR)
 	})
-	return err == nil && quiet
+	return err == nil && blocks
 }
 
-// Pending tells whether bytes wait to be read. An end alone does not count.
-func (s *Socket) Pending() bool {
+// HasInput reports whether bytes are pending to be read. The peer's end alone does not count.
+func (s *Socket) HasInput() bool {
 	pending := false
 	if s.raw == nil {
 		return false
@@ -81,8 +82,8 @@
 	return err == nil && pending
 }
 
-// AcceptNow is the next connection that the system has accepted for a TCP listener; an error if there is none yet.
-func AcceptNow(l net.Listener) (net.Conn, error) {
+// TryAccept returns the next pending connection of a TCP listener without blocking; syscall.EAGAIN if there is none.
+func TryAccept(l net.Listener) (net.Conn, error) {
 	sc, ok := l.(syscall.Conn)
 	if !ok {
 		return nil, errors.ErrUnsupported
@@ -101,11 +102,11 @@
 		return nil, err
 	}
 	f := os.NewFile(uintptr(conn), "")
-	defer f.Close() // FileConn has one of its own
+	defer f.Close() // FileConn duplicates the descriptor
 	return net.FileConn(f)
 }
 
-// HungUp tells whether the peer ended or broke the connection, also where bytes that it sent before are still unread.
+// HungUp reports whether the peer closed or reset the connection, even if bytes it sent before are still unread.
 func (s *Socket) HungUp() bool {
 	hungUp := false
 	if s.raw != nil {
@@ -114,8 +115,8 @@
 	return hungUp
 }
 
-// AwaitHangup waits, reading nothing, until the peer ended or broke the connection, or until the read deadline: an error
-// that wraps os.ErrDeadlineExceeded. net.ErrClosed is what it tells of a socket that was closed here.
+// AwaitHangup blocks, reading nothing, until the peer closes or resets the connection (nil) or the read deadline expires
+// (an error that wraps os.ErrDeadlineExceeded). It returns net.ErrClosed if the socket was closed locally.
 func (s *Socket) AwaitHangup() error {
 	if s.raw == nil {
 		return errors.ErrUnsupported
@@ -129,9 +130,9 @@
 	return err == nil && n > 0 && p[0].Revents&(unix.POLLRDHUP|unix.POLLHUP|unix.POLLERR) != 0
 }
 
-// Shut ends the connection for its peer and for what reads it here, before it returns and without waiting for that. The
-// socket itself is left to Close.
-func (s *Socket) Shut() {
+// Shutdown ends both directions of the connection without waiting for pending reads, which return. The socket must still
+// be closed.
+func (s *Socket) Shutdown() {
 	if s.raw == nil {
 		s.Close()
 		return
@@ -139,21 +140,22 @@
 	s.raw.Control(func(fd uintptr) { syscall.Shutdown(int(fd), syscall.SHUT_RDWR) })
 }
 
-// End shuts the connection and closes its socket. Who holds what a read of it waits for must only shut it: Close waits for
-// reads to end.
-func (s *Socket) End() {
-	s.Shut()
+// ShutdownAndClose shuts the connection down and closes the socket. Close waits for reads to end, so a caller that holds
+// a lock that a read needs must use Shutdown instead.
+func (s *Socket) ShutdownAndClose() {
+	s.Shutdown()
 	s.Close()
 }
 
-// EndWriting half-closes the connection: the peer hears the end once it has read what was sent.
-func (s *Socket) EndWriting() {
+// CloseWrite half-closes the connection: the peer reads the end of the stream behind the bytes sent before.
+func (s *Socket) CloseWrite() {
 	if s.raw != nil {
 		s.raw.Control(func(fd uintptr) { syscall.Shutdown(int(fd), syscall.SHUT_WR) })
 	}
 }
 
-// ReadPatiently takes a buffer for as long as it reads into it, not while it waits.
+// ReadPatiently reads into a buffer that it takes from shared only once there is input; the caller must put it back unless it
+// is nil. It blocks until bytes, the end of the stream (io.EOF) or an error arrive.
 func (s *Socket) ReadPatiently(shared *pgwire.Buffers) (buf []byte, n int, err error) {
 	if s.raw == nil {
 		buf = shared.Get()
@@ -162,16 +164,16 @@
 	}
 	if e := s.raw.Read(func(fd uintptr) bool {
 		buf = shared.Get()
-		if s.gate != nil {
-			s.gate.Lock()
-			defer s.gate.Unlock()
+		if s.readLock != nil {
+			s.readLock.Lock()
+			defer s.readLock.Unlock()
 		}
 		for n, err = syscall.Read(int(fd), buf); err == syscall.EINTR; {
 			n, err = syscall.Read(int(fd), buf)
 		}
 		if n > 0 {
-			if s.heard != nil {
-				s.heard()
+			if s.onRead != nil {
+				s.onRead()
 			}
 			return true
 		}
--- a/internal/waiting/waiting.go
+++ b/internal/waiting/waiting.go
@@ -1,4 +1,4 @@
-// Package waiting finds who waits for the answer to a request. Who takes requests in adds, the loop answers.
+// Package waiting maps requests to those who wait for their answers. Request handlers add entries, the event loop answers.
 package waiting
 
 import (
@@ -7,50 +7,50 @@
 	"umberladder/balance"
 )
 
-// Table names requests, no two alike, and holds who waits for each. The zero Table is empty. It is safe for concurrent use.
+// Table assigns request IDs and holds the waiter of each. The zero Table is empty. It is safe for concurrent use.
 type Table[T any] struct {
-	mu    sync.Mutex
-	of    map[balance.RequestID]T
-	last  balance.RequestID
-	ended bool
+	mu      sync.Mutex
+	waiters map[balance.RequestID]T
+	last    balance.RequestID
+	ended   bool
 }
 
-// Add names a request, false once nobody would answer it.
-func (t *Table[T]) Add(who T) (balance.RequestID, bool) {
+// Add returns a new ID for a request with its waiter; false once the table is closed, as nobody would answer it.
+func (t *Table[T]) Add(waiter T) (balance.RequestID, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.ended {
 		return 0, false
 	}
 	t.last++
-	if t.of == nil {
-		t.of = map[balance.RequestID]T{}
+	if t.waiters == nil {
+		t.waiters = map[balance.RequestID]T{}
 	}
-	t.of[t.last] = who
+	t.waiters[t.last] = waiter
 	return t.last, true
 }
 
-// Get is who waits for a request; the zero T if nobody does.
+// Get returns the waiter of a request; the zero T if there is none.
 func (t *Table[T]) Get(id balance.RequestID) T {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.of[id]
+	return t.waiters[id]
 }
 
-// Drop is Get, and nobody waits for it any more.
+// Drop removes a request and returns its waiter; the zero T if there is none.
 func (t *Table[T]) Drop(id balance.RequestID) T {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	who := t.of[id]
-	delete(t.of, id)
-	return who
+	waiter := t.waiters[id]
+	delete(t.waiters, id)
+	return waiter
 }
 
-// End gives back all who wait. Nobody is added after it.
+// End removes and returns all waiters. Nothing can be added afterwards.
 func (t *Table[T]) End() map[balance.RequestID]T {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	of := t.of
-	t.of, t.ended = nil, true
-	return of
+	all := t.waiters
+	t.waiters, t.ended = nil, true
+	return all
 }
