--- a/balance/api.go
+++ b/balance/api.go
@@ -2,23 +2,23 @@
 
 import "time"
 
-// Times are durations on the driver's clock, whose zero has no meaning of its own. Positions in the
-// log are durations after Config.Origin on that same clock.
+// Times are durations on the driver's monotonic clock, whose zero is arbitrary. Log positions are expressed as
+// commit times: durations after Config.Origin on that clock.
 
-// ServerID names a server; it is opaque and stable over restarts of the server's process.
+// ServerID identifies a server. It stays the same when the server's process restarts.
 type ServerID uint64
 
-// RequestID names one request; a driver never uses an ID twice.
+// RequestID identifies a request. A driver must not use an ID twice.
 type RequestID uint64
 
-// Effect says what a second execution of a request would do.
+// Effect is what a second execution of a request would do.
 type Effect uint8
 
 // The effects a class can have.
 const (
-	Safe   Effect = iota // may be repeated freely
-	Keyed                // repeats are discarded within Class.Scope for Class.Window
-	Unsafe               // must never run twice
+	Safe   Effect = iota // nothing; it may be repeated freely
+	Keyed                // nothing within Class.Scope and Class.Window, where repeats are discarded by their key
+	Unsafe               // harm; it must never run twice
 )
 
 // Scope is the set of servers that together discard repeats of a keyed request.
@@ -31,77 +31,77 @@
 	ScopeAll                // every server
 )
 
-// Need says how new the data behind an answer must be.
+// Need is the freshness that a request requires of the data behind its answer.
 type Need uint8
 
 // The needs a class can have.
 const (
-	NeedWrite   Need = iota // only the primary takes it
-	NeedFresh               // every commit from before the request came in
-	NeedSession             // the writes of the request's session
-	NeedBounded             // data at most Class.Bound old at the send
-	NeedAny                 // any data
+	NeedWrite   Need = iota // a write, which only the primary takes
+	NeedFresh               // every commit before the request arrived (linearizable read)
+	NeedSession             // the writes of the request's session (read your writes)
+	NeedBounded             // data at most Class.Bound old when the request is sent (bounded staleness)
+	NeedAny                 // data of any age
 )
 
-// Behind is how a replica treats a read that it lags too far behind for.
+// Behind is what a replica does with a read for which it lags too far behind.
 type Behind uint8
 
-// The treatments of a lagging read.
+// What a lagging replica can do with a read.
 const (
-	BehindServe  Behind = iota // it answers from what it has
-	BehindReject               // OutcomeMiss at once
-	BehindWait                 // it waits up to Config.CatchUpWait, then OutcomeMiss
+	BehindServe  Behind = iota // it answers with the data that it has
+	BehindReject               // it ends the attempt with OutcomeMiss at once
+	BehindWait                 // it waits up to Config.CatchUpWait for replication, then ends with OutcomeMiss
 )
 
-// Class is one class of request.
+// Class is one class of requests. New requires 0 < Target <= Deadline.
 type Class struct {
 	Name      string
 	Effect    Effect
 	Scope     Scope
 	Need      Need
-	Target    time.Duration // answers within it earn the full worth
-	Deadline  time.Duration // what a client waits over all its tries
+	Target    time.Duration // answers within it earn the full Worth
+	Deadline  time.Duration // how long a client waits, over all attempts
 	Window    time.Duration // how long repeats of a keyed request are discarded
 	Bound     time.Duration // for NeedBounded
-	Worth     float64
-	LateWorth float64 // the share of Worth earned after Target
+	Worth     float64       // value of an answer within Target, relative to other classes
+	LateWorth float64       // share of Worth, 0 to 1, that an answer after Target earns
 }
 
-// Config is all that a router is told at its start.
+// Config is the configuration of a router. It does not change after New.
 type Config struct {
 	Classes       []Class
-	Zone          int           // the router's own zone
-	Routers       int           // how many routers there are, 0 if not known
-	Round         time.Duration // the least time between batches
-	Origin        time.Duration // the clock time that positions count from
-	Positions     bool          // answers carry positions
-	Behind        Behind
-	CatchUpWait   time.Duration // for BehindWait
-	RouterTokens  bool          // sessions are followed by this router's own answers, not by SinceWrite
-	AskList       bool          // the list comes only to those that subscribe
-	AskWithin     time.Duration // a router that has not asked for so long counts as told; for AskList
-	DrainGrace    time.Duration // sends to a draining server end by then; 0 means at once
-	SoftRemoval   bool          // only an entry listed as draining binds
-	AnswerSlack   time.Duration // how long after the deadline a final answer still counts
-	ColdFrom      float64       // least share of its capacity that a server starts with
-	RampTime      time.Duration // a server is warm after it; 0 means servers start warm
-	TipMultiple   float64       // a cold server sent more than this multiple of its capacity
-	Fall          time.Duration // for so long falls over
-	Cancel        bool          // ActionWithdraw is allowed
-	Probing       bool          // ActionPoll is allowed; without it servers count as active
-	ParallelTries bool          // a request may have two attempts out
-	TryLimit      int           // most attempts of a request; 0 means one
-	RetryAfter    bool          // refusals may advise when to come back
-	MaxRetryAfter time.Duration // the longest such advice that is followed
-	DialTimeout   time.Duration // then an attempt ends as OutcomeConnectFailed; for information
-	ListsRole     bool          // list entries show the role, late
+	Zone          int           // the router's own availability zone
+	Routers       int           // number of routers in front of the same servers, 0 if unknown
+	Round         time.Duration // least time between two batches of events, at least 1 ms
+	Origin        time.Duration // clock time of position 0
+	Positions     bool          // answers carry log positions
+	Behind        Behind        // what replicas do with reads for which they lag too far behind
+	CatchUpWait   time.Duration // how long a replica waits with BehindWait
+	RouterTokens  bool          // a session's writes are tracked by this router's answers, not by Event.SinceWrite
+	AskList       bool          // the server list is delivered only after ActionSubscribe
+	AskWithin     time.Duration // with AskList: a router without a subscription for so long counts as notified of changes
+	DrainGrace    time.Duration // how long after a drain was listed requests may still be sent; 0 for not at all
+	SoftRemoval   bool          // only servers listed as draining are taken out of use, not those missing from a list
+	AnswerSlack   time.Duration // how long after the deadline a final answer is still accepted
+	ColdFrom      float64       // least share of its capacity, 0 to 1, that a server has at its start (slow start)
+	RampTime      time.Duration // time from its start until a server is warm; 0 if servers start warm
+	TipMultiple   float64       // a cold server with more than this multiple of its capacity in requests
+	Fall          time.Duration // for this long is overloaded and fails
+	Cancel        bool          // ActionWithdraw may be used
+	Probing       bool          // ActionPoll may be used; otherwise servers count as available without polls
+	ParallelTries bool          // a request may have two attempts in flight (hedged request)
+	TryLimit      int           // most attempts of a request, the first included; below 1 counts as 1
+	RetryAfter    bool          // ActionReject may carry a delay after which to retry
+	MaxRetryAfter time.Duration // longest such delay that clients follow
+	DialTimeout   time.Duration // after it an attempt to connect ends as OutcomeConnectFailed; for the driver, not used here
+	ListsRole     bool          // list entries show the role, with a delay; for information
 }
 
-// ConnsAreChecked says that each attempt goes out only on a connection that was shown to work right before: silence then proves
-// nothing about connections. It is a property of the driver, not a setting, and is told before the first step.
-func (r *Router) ConnsAreChecked() { r.checked = true }
+// ConnsAreChecked declares that the driver checks each connection right before it sends an attempt on it, so that a missing
+// answer is no evidence of a dropped connection. It depends on the driver, not on settings, and must be called before the first Step.
+func (r *Router) ConnsAreChecked() { r.connsChecked = true }
 
-// Role is what a server says it is.
+// Role is the role that a server reports of itself.
 type Role uint8
 
 // The roles of a server.
@@ -114,123 +114,125 @@
 // Outcome is how an attempt or a poll ended.
 type Outcome uint8
 
-// The outcomes; Full, ConnectFailed, Moot and Miss prove that nothing ran.
+// The outcomes. After Full, ConnectFailed, Moot and Miss nothing ran; after the others the request may have run.
 const (
-	OutcomeError Outcome = iota
-	OutcomeOK
-	OutcomeFull
-	OutcomeTimeout
-	OutcomeConnectFailed
-	OutcomeReset
-	OutcomeCancelled
-	OutcomeMoot
-	OutcomeMiss
+	OutcomeError         Outcome = iota // the server answered with an error
+	OutcomeOK                           // the server answered
+	OutcomeFull                         // the server refused for lack of capacity
+	OutcomeTimeout                      // no answer in time
+	OutcomeConnectFailed                // no connection could be opened
+	OutcomeReset                        // the connection broke
+	OutcomeCancelled                    // withdrawn
+	OutcomeMoot                         // dropped before it was sent
+	OutcomeMiss                         // refused by a server that lags too far behind or is not the primary
 )
 
-// NeverRan tells whether an outcome proves that nothing ran.
+// NeverRan reports whether the outcome is evidence that nothing ran, so that sending the request again is harmless.
 func (o Outcome) NeverRan() bool {
 	return o == OutcomeFull || o == OutcomeConnectFailed || o == OutcomeMoot || o == OutcomeMiss
 }
 
-// Life is the state the list gives a server.
+// Life is the state of a server in the list.
 type Life uint8
 
 // The states of a listed server.
 const (
-	LifeReady Life = iota
-	LifeDraining
-	LifeGone
+	LifeReady    Life = iota // in use
+	LifeDraining             // about to be removed; requests may be sent for Config.DrainGrace
+	LifeGone                 // removed
 )
 
-// Entry is one line of a list.
+// Entry is the state of one server in a list.
 type Entry struct {
 	Server  ServerID
 	Group   int
-	Zone    int
+	Zone    int // availability zone
 	Life    Life
-	Primary bool          // the listed role, where Config.ListsRole
-	Started time.Duration // the last start of its process; 0 means long ago
+	Primary bool          // the listed role with Config.ListsRole
+	Started time.Duration // clock time of the last start of its process; 0 if unknown or long ago
 }
 
-// ListKind says how a list event applies.
+// ListKind is how a list event is to be applied.
 type ListKind uint8
 
 // The kinds of list.
 const (
 	ListDelta  ListKind = iota // changed entries only
-	ListFull                   // the whole list; who is missing is gone
-	ListCached                 // the whole list as last held, possibly old
-	ListFailed                 // a call or the subscription failed; no entries
+	ListFull                   // the whole list; missing servers are removed
+	ListCached                 // the whole list from a cache, possibly outdated
+	ListFailed                 // a list request or the subscription failed; without entries
 )
 
-// Report is what a server says of itself, as old as it is.
+// Report is a server's own report of its role and position. It is as old as the answer that carried it.
 type Report struct {
-	Valid       bool
-	HasPosition bool
-	HasRole     bool
-	Position    time.Duration // rounded down
+	Valid       bool          // the report has any content
+	HasPosition bool          // Position is set
+	HasRole     bool          // Primary is set
+	Position    time.Duration // log position after Config.Origin, rounded down
 	Primary     bool
 }
 
-// EventKind tells events apart.
+// EventKind is the kind of an Event.
 type EventKind uint8
 
-// The kinds of event.
+// The kinds of events, with the fields of Event that each sets.
 const (
 	EventList    EventKind = iota // List, Entries
 	EventRequest                  // Request, Class, Group, Key, Deadline, SinceWrite
-	EventOpened                   // Request: its streamed answer began and belongs to the client
+	EventOpened                   // Request: its answer began to stream to the client and cannot be taken back
 	EventOutcome                  // Request, Attempt, Server, Outcome, Age, Settled, Role, Position, Report
-	EventAborted                  // Request: the client left
+	EventAborted                  // Request: the client closed or cancelled it
 	EventPoll                     // Server, Outcome, Age, Report
 	EventTimer                    // Token
 )
 
-// Event is one thing that happened; Kind says which fields count.
+// Event is an input of Router.Step. Kind determines which fields are set.
 type Event struct {
 	Kind       EventKind
 	List       ListKind
 	Outcome    Outcome
 	Role       Role
-	Settled    bool // the request is finished
+	Settled    bool // the request is answered
 	Request    RequestID
 	Server     ServerID
-	Key        uint64
+	Key        uint64 // the session
 	Token      uint64
-	Class      int
+	Class      int // index in Config.Classes; out of range is rejected
 	Group      int
-	Attempt    int
-	Age        time.Duration // since the attempt or poll was sent
-	Deadline   time.Duration // the clock time at which the client leaves
-	SinceWrite time.Duration // age of the session's last write; 0 means none
-	Position   time.Duration // told by an answer, 0 if not; for a write that ran, its commit
+	Attempt    int           // counted from 0
+	Age        time.Duration // time since the attempt or poll was sent
+	Deadline   time.Duration // clock time after which the client no longer waits
+	SinceWrite time.Duration // age of the session's last write; 0 if none
+	Position   time.Duration // position in an answer, 0 if none; for a write that ran, its commit rounded up
 	Report     Report
 	Entries    []Entry
 }
 
-// ActionKind tells actions apart.
+// ActionKind is the kind of an Action.
 type ActionKind uint8
 
-// The kinds of action.
+// The kinds of actions, with the fields of Action that each uses.
 const (
-	ActionTry        ActionKind = iota // send Request to Server; attempts count from 0 in this order
-	ActionWithdraw                     // stop waiting for Attempt of Request
-	ActionReject                       // final: a further try is harmless; After advises when
-	ActionFail                         // final: no promise
+	ActionTry        ActionKind = iota // send Request to Server; a request's attempts are counted from 0 in order of these actions
+	ActionWithdraw                     // cancel Attempt of Request
+	ActionReject                       // final answer: refused, and a retry is harmless, after After
+	ActionFail                         // final answer: failed, and the request may have run
 	ActionPoll                         // ask Server for a report
-	ActionTimer                        // an EventTimer with Token After from now
-	ActionSubscribe                    // ask for the list and its changes
+	ActionTimer                        // deliver an EventTimer with Token in After
+	ActionSubscribe                    // subscribe to the server list and its changes
 	ActionDisconnect                   // close the idle connections to Server
-	ActionLog                          // Text for the operators
+	ActionLog                          // log Text for operators
 )
 
-// Action is one thing to do, in order.
+// Action is an output of Router.Step, to be carried out by the driver in order.
 type Action struct {
 	Kind    ActionKind
 	Request RequestID
 	Server  ServerID
 	Attempt int
 	Token   uint64
-	After   time.Duration // Try: time-out, 0 for the client's deadline; Reject: advice; Timer: delay
-	Text    string
+	// ActionTry: time-out, 0 for the client's deadline; ActionReject: delay before a retry, 0 for none;
+	// ActionTimer: delay.
+	After time.Duration
+	Text  string
 }
--- a/balance/balance.go
+++ b/balance/balance.go
@@ -1,7 +1,11 @@
-// Package balance decides for a proxy before groups of one primary and its replicas: which server gets a
-// request, when servers are polled, and when a request is tried again, held or shed. The ordinary path
-// follows "Ratis - A Redis Proxy"; docs/design.md lists what was kept and each exception. This file holds
-// every decision and tuned value; api.go holds the types that go in and out.
+// Package balance decides which server gets a request, when servers are polled, and which requests are
+// retried, held or shed, for groups of one primary and its replicas. In go batches of events: server lists,
+// requests, outcomes of attempts and polls, and timers. Out come actions for the caller to carry out in
+// order; the callers are the front ends' drivers, which own the sockets and the clock.
+//
+// The ordinary path follows "Ratis - A Redis Proxy"; the steps named in comments are those of that paper, and
+// docs/design.md lists each deviation. This file holds every decision and constant, api.go the types of
+// events and actions, index.go the index of timers, and view.go what operators and tests can read.
 package balance
 
 import (
@@ -14,134 +18,160 @@
 	"time"
 )
 
-// Tuned values. None comes from a deployment; times are derived from the start settings or observed.
+// Loads and limits are in requests, shares and factors are fractions. Where a load is that of all routers,
+// each router takes its part of it (see routerShare).
 const (
-	failureLimit   = 2    // failed polls in a row until a server is down (step 1)
-	pollJitter     = 0.4  // random part of a poll's wait, in intervals (step 1)
-	pollCap        = 5    // longest wait between polls, in intervals (step 1)
-	pollCrowd      = 4    // routers that may poll a server within one interval; more stretch their timers
-	proofPolls     = 2    // polls hurried for a read that no told position suits
-	startLimit     = 16.0 // outstanding requests, of all routers, at a server that is not known yet
-	paceCut        = 0.8  // the pace's factor after a refusal for want of room, or no answer in time
-	paceGrowth     = 0.1  // growth of the pace by an answer in time, as a share of it
-	missWeight     = 0.15 // weight of a new answer in the share that is missing
-	leastPace      = 7.0  // requests, of all routers, below which the pace does not fall
-	limitCut       = 0.9  // the limit's factor after an answer near its target
-	limitGrowth    = 0.05 // most growth of a limit by one answer, as a share of it
-	fullCut        = 0.6  // the limit's factor after a refusal for want of room, or no answer in time
-	nearTarget     = 0.5  // share of the target at which an answer counts as near it
-	fallbackShare  = 0.6  // part of the primary's limit open to reads that replicas could serve
-	writeShare     = 2.0  // part of the primary's limit open to writes
-	patienceFactor = 8.0  // a server is silent after this many mean latencies without an answer
-	latencyWeight  = 0.05 // weight of a new answer in the mean latency
-	retryShare     = 0.05 // retry budget earned by each first attempt
-	retryBurst     = 20.0 // most retry budget kept
-
-	heldShare = 0.5 // part of its time for which a request that never went out is held
-
-	regain = 5 * time.Second // how long what was learned of connections holds
-	forget = 60 * time.Second
+	failureLimit       = 2    // consecutive failed polls that make a server unavailable (step 1)
+	pollJitter         = 0.4  // random part of a poll's wait, in poll intervals (step 1)
+	pollCap            = 5    // longest wait between polls, in poll intervals (step 1)
+	pollersPerInterval = 4    // routers that may poll a server within one interval; more of them poll less often
+	expeditedPolls     = 2    // polls expedited for a read whose freshness no reported position proves
+	totalStartLimit    = 16.0 // pending requests of all routers at a server of unknown capacity
+	paceDecrease       = 0.8  // factor of the pace after a refusal for lack of capacity or a time-out
+	paceIncrease       = 0.1  // relative growth of the pace for each answer in time
+	lossWeight         = 0.15 // weight of a new answer in the mean loss rate
+	totalMinPace       = 7.0  // load of all routers below which the pace does not fall
+	limitDecrease      = 0.9  // factor of a server's limit after an answer near its target
+	limitIncrease      = 0.05 // greatest relative growth of a limit for one answer
+	overloadDecrease   = 0.6  // factor of a server's limit after a refusal for lack of capacity or a time-out
+	nearTargetShare    = 0.5  // share of the target latency beyond which an answer counts as near it
+	fallbackShare      = 0.6  // share of the primary's limit open to reads that replicas could serve
+	writeShare         = 2.0  // multiple of the primary's limit open to writes
+	silenceFactor      = 8.0  // a server is silent after this many mean latencies without an answer
+	latencyWeight      = 0.05 // weight of a new answer in the mean latency
+	retryShare         = 0.05 // retry budget earned by each first attempt, in attempts
+	retryBurst         = 20.0 // upper bound of the retry budget, in attempts
+
+	holdShare = 0.5 // share of its time for which a request that was never sent is held
+
+	observationTTL   = 5 * time.Second  // for how long observations of connections and time-outs count
+	sessionRetention = 60 * time.Second // for how long a session's last commit is kept
 )
 
 // Router makes the decisions of one driver. It is not safe for concurrent use.
 type Router struct {
-	cfg            Config
-	rng            *rand.Rand
-	now            time.Duration
-	acts           []Action
-	servers        map[ServerID]*server
-	groups         map[int]*group
-	order          []*group               // groups in order of first mention
-	open           map[RequestID]*request // not answered, or with attempts out
-	polls          due[*server]           // members that are not being polled, by their timers
-	looks          due[*group]            // groups with requests that wait, by when a sweep may find something
-	arrivals       uint64
-	due            []*server // buffers of pollDue and sweep
-	held, all      []*request
-	sweeping       []*group
-	sessions       map[uint64]time.Duration
-	writes         map[uint64]int // attempts that are out of each session's writes
-	floor          time.Duration  // the newest commit among forgotten sessions
-	budget         float64        // for resends
-	interval, idle time.Duration  // between polls: where work waits; where answers or nothing need them
-	reap, reapedAt time.Duration  // connections idle for longer are taken for dropped; when that was learned
-	scarce         time.Duration  // until when servers are taken to accept few connections
-	kick, checked  bool           // something changed that may let held requests go; connections work when used
-
-	sweepGap, swept, pruned, askAt, armed time.Duration
-	turn, token                           uint64
+	cfg       Config
+	rng       *rand.Rand
+	now       time.Duration
+	acts      []Action // result of the current Step
+	servers   map[ServerID]*server
+	groups    map[int]*group
+	order     []*group               // groups in the order in which they were first mentioned
+	open      map[RequestID]*request // unanswered requests, and answered ones with pending attempts
+	polls     timeIndex[*server]     // members without a poll in flight, by the time of their next poll
+	looks     timeIndex[*group]      // groups with waiting requests, by the time of their next sweep
+	arrivals  uint64                 // requests so far
+	due       []*server              // buffer of sendDuePolls
+	held, all []*request             // buffers of sweep
+	sweeping  []*group               // buffer of sweep
+	sessions  map[uint64]time.Duration
+	writes    map[uint64]int // pending attempts of each session's writes
+	// The newest commit among the sessions that were evicted.
+	sessionFloor time.Duration
+	retryBudget  float64 // further attempts that may still be sent
+	// Time between polls: while requests wait for a server, and while answers make polls unnecessary.
+	pollInterval, idleInterval time.Duration
+	// Connections idle for longer count as dropped; the time of that observation.
+	idleCutoff, idleCutoffAt time.Duration
+	connLimitedUntil         time.Duration // until then servers are assumed to accept few connections
+	// A change may let held requests be sent; connections are checked before each use.
+	sweepNeeded, connsChecked bool
+
+	// The least time between sweeps; the last sweep; the last eviction of sessions; when to subscribe to the
+	// list; when the pending timer fires, 0 for none.
+	sweepInterval, lastSweep, lastPrune, subscribeAt, timerAt time.Duration
+	// Sequence number of sends, by which servers take turns; token of the newest timer.
+	turn, token uint64
 }
 
 type group struct {
-	place        int        // in order of first mention
-	members      []*server  // by ID
-	queue        []*request // open ones, in order of arrival
-	look         slot[*group]
-	stirred      bool          // something changed since it was last swept
-	primary      *server       // last named by the newest poll or answer
-	claim, named time.Duration // its newest claim; when the newest poll that named it was sent
-	latency      float64       // mean of answers, ns
-	pools        [3]pool       // of the primary's own work, of reads, and of reads at the primary
+	place   int        // in the order of first mention
+	members []*server  // by ID
+	queue   []*request // open requests in order of arrival
+	look    timeSlot[*group]
+	dirty   bool    // something changed since the group's last sweep
+	primary *server // named by the newest poll or answer; nil if unknown
+	// As of when the primary was named; when the newest poll that confirmed it was sent.
+	claimedAt, confirmedAt time.Duration
+	latency                float64 // mean latency of answers, in ns
+	pools                  [3]pool // of the primary's own requests, of reads, and of reads that fall back to the primary
 }
 
-// pool is what a group's requests of one kind share when no limit can fall further: the part of them sent.
+// pool throttles a group's requests of one kind where each server's limit is at its minimum of one request:
+// then only a part of the first attempts is sent.
 type pool struct {
-	pace    float64
-	allow   float64 // first attempts that may go now
-	cutAt   time.Duration
-	missing float64 // mean share of answers that do not come
+	pace      float64 // share of first attempts that are admitted, at most 1
+	allowance float64 // first attempts that may be sent now
+	reducedAt time.Duration
+	lossRate  float64 // mean share of requests without an answer
 }
 
-type flight struct {
+// pendingAttempt is an attempt sent to a server whose outcome is not known yet.
+type pendingAttempt struct {
 	id      RequestID
 	attempt int
 	sent    time.Duration
-	idle    time.Duration // how long its connection had been unused; 0 for a new one
+	idle    time.Duration // how long its connection had been idle at the send; 0 for a new one
 }
 
 type server struct {
-	id                      ServerID
-	timer                   slot[*server]
-	group                   *group
-	zone                    int
-	life                    Life
-	toldAt                  time.Duration
-	started, assumed        time.Duration // as listed; what looked like one
-	position, heardAt       time.Duration // the highest told, and when
-	denied                  time.Duration // when it last said that it is no primary
-	dropped                 bool          // its drain was told before it went
-	polled, polling         bool          // answered a poll since it last failed; one is out
-	reset, unreached        bool          // a connection broke, or none could be had; no poll since
-	polledAt, nextPoll      time.Duration
-	out                     []flight
-	cutAt, answered, failed time.Duration // failed: when an attempt last went unanswered
-	met, latest             time.Duration // when it last answered a poll; the newest send that it answered
-	fails, conns            int           // conns: connections that it is taken to have open
-	limit, credit           float64       // credit: sends it may have while cold
-	turn                    uint64
+	id        ServerID
+	timer     timeSlot[*server]
+	group     *group
+	zone      int
+	life      Life
+	lifeSince time.Duration // when the list last changed life
+	// Start of its process: as listed, and as assumed after an outage.
+	started, assumedStart time.Duration
+	// The highest reported position and when it was reported.
+	position, positionAt time.Duration
+	deniedAt             time.Duration // as of when it last reported that it is not the primary
+	drained              bool          // it was listed as draining before it was removed
+	// It answered a poll since its last failure; a poll is in flight.
+	polled, polling bool
+	// Since the last answered poll a connection broke, or none could be opened.
+	connReset, dialFailed bool
+	polledAt, nextPoll    time.Duration // when the last poll was sent, and when the next is due
+	pending               []pendingAttempt
+	// When its limit was last reduced, when it last answered a request, and when a request last timed out there;
+	// 0 once it has answered again.
+	reducedAt, answeredAt, unansweredAt time.Duration
+	// When it last answered a poll, and the send time of the newest attempt that it answered.
+	pollAnsweredAt, newestAnswered time.Duration
+	// Consecutive failed polls, and connections that are believed to be open.
+	failedPolls, conns int
+	// Pending requests allowed, and requests that may be sent while the server is cold.
+	limit, coldCredit float64
+	turn              uint64 // Router.turn of its last request; the lowest is next
 }
 
 type request struct {
 	id                RequestID
-	number            uint64 // in order of arrival
+	arrival           uint64 // sequence number
 	class             *Class
 	group             *group
 	key               uint64
 	arrived, deadline time.Duration
-	need              time.Duration // position that a session read must see
-	sends, out, asked int           // asked: polls hurried for it
-	ran               bool          // an ended attempt may have run
-	since             time.Duration // send of the first attempt that may have run
-	zone              int           // of its server
-	after             time.Duration // a poll sent later must name the primary
-	last              *server
-	askedAt, sent     time.Duration // when polls were hurried for it; when its last attempt went
-	fallback, counted bool          // among the reads at the primary; in the credit of a cold primary
-
-	pulled, missed, full, streamed, done bool
+	minPosition       time.Duration // position that a session read must observe
+	// Attempts sent, attempts pending, and polls expedited for it.
+	sends, pending, expedited int
+	mayHaveRun                bool          // an attempt that has ended may have run
+	windowStart               time.Duration // send of the first attempt that may have run
+	zone                      int           // of that attempt's server
+	primaryAfter              time.Duration // only a poll sent later may name the primary
+	lastServer                *server
+	// When polls were last expedited for it, and when its last attempt was sent.
+	expeditedAt, lastSent time.Duration
+	// It is counted in the pool of reads at the primary, and in the credit of a cold primary.
+	fallback, coldCounted bool
+
+	// Its last attempt was withdrawn; a replica lagged too far behind; its last attempt was refused for lack of
+	// capacity; its answer is being streamed; it is answered or aborted.
+	withdrawn, missed, refusedFull, streamed, done bool
 }
 
-// New returns a router that knows nothing yet. An unusable Config is an error.
+// New returns a router without any server. It fails if cfg has no classes, or a class whose target is not
+// positive or exceeds its deadline. Routers with the same cfg and seed act alike on the same events.
 func New(cfg Config, seed uint64) (*Router, error) {
 	if len(cfg.Classes) == 0 {
 		return nil, fmt.Errorf("balance: no classes")
@@ -158,59 +188,62 @@
 	}
 	cfg.Round, cfg.TryLimit = max(cfg.Round, time.Millisecond), max(cfg.TryLimit, 1)
 	interval := max(least, 10*cfg.Round)
-	idle := interval * time.Duration(max(cfg.Routers, pollCrowd)) / pollCrowd
+	idle := interval * time.Duration(max(cfg.Routers, pollersPerInterval)) / pollersPerInterval
 	r := &Router{cfg: cfg, rng: rand.New(rand.NewPCG(seed, seed)), servers: map[ServerID]*server{},
 		groups: map[int]*group{}, open: map[RequestID]*request{}, sessions: map[uint64]time.Duration{},
-		interval: interval, idle: idle, sweepGap: max(cfg.Round, least/25), askAt: math.MaxInt64,
-		turn: math.MaxUint32, budget: retryBurst * float64(interval) / float64(idle), writes: map[uint64]int{}}
+		pollInterval: interval, idleInterval: idle, sweepInterval: max(cfg.Round, least/25), subscribeAt: math.MaxInt64,
+		turn: math.MaxUint32, retryBudget: retryBurst * float64(interval) / float64(idle), writes: map[uint64]int{}}
 	if cfg.AskList {
-		r.askAt = math.MinInt64
+		r.subscribeAt = math.MinInt64
 	}
 	return r, nil
 }
 
-// Step takes a batch of events, all at one clock, which may not go back, and appends the actions in order.
+// Step handles a batch of events that all happened at now and returns actions with the resulting ones appended
+// in the order in which they are to be carried out. A now before that of the last call counts as the latter.
 func (r *Router) Step(now time.Duration, events []Event, actions []Action) []Action {
 	r.now, r.acts = max(now, r.now), actions
 	for i := range events {
-		r.take(&events[i])
+		r.handle(&events[i])
 	}
-	if r.kick || r.now-r.swept >= r.sweepGap {
+	if r.sweepNeeded || r.now-r.lastSweep >= r.sweepInterval {
 		r.sweep()
 	}
-	r.arm(r.pollDue())
+	r.setTimer(r.sendDuePolls())
 	actions, r.acts = r.acts, nil
 	return actions
 }
 
-func (r *Router) take(e *Event) {
+func (r *Router) handle(e *Event) {
 	switch e.Kind {
 	case EventList:
-		r.list(e)
+		r.onList(e)
 	case EventRequest:
-		r.request(e)
+		r.onRequest(e)
 	case EventOpened:
 		if q := r.open[e.Request]; q != nil {
 			q.streamed = true
-			r.stir(q.group)
+			r.markDirty(q.group)
 		}
 	case EventOutcome:
-		r.outcome(e)
+		r.onOutcome(e)
 	case EventAborted:
 		r.close(r.open[e.Request])
 	case EventPoll:
-		r.polledBy(e)
+		r.onPoll(e)
 	case EventTimer:
 		if e.Token == r.token {
-			r.armed = 0
+			r.timerAt = 0
 		}
 	}
 }
 
-func (r *Router) list(e *Event) {
+// onList applies a server list. A failed list request is repeated after a random delay, so that many routers do not
+// repeat it at once.
+func (r *Router) onList(e *Event) {
 	if e.List == ListFailed && r.cfg.AskList {
 		r.log("list out of reach, asking again")
-		r.askAt = r.now + r.spread(r.cfg.AskWithin/5)
+		r.subscribeAt = r.now + r.jitter(r.cfg.AskWithin/5)
 	}
 	if e.List == ListFailed {
 		return
@@ -218,77 +251,81 @@
 	seen := map[ServerID]bool{}
 	for i := range e.Entries {
 		seen[e.Entries[i].Server] = true
-		r.entry(&e.Entries[i])
+		r.applyEntry(&e.Entries[i])
 	}
 	for _, g := range r.order {
 		for _, s := range slices.Clone(g.members) {
 			if e.List != ListDelta && !seen[s.id] {
-				r.gone(s)
+				r.removeServer(s)
 			}
 		}
-		r.stir(g)
+		r.markDirty(g)
 	}
-	r.kick = true
+	r.sweepNeeded = true
 }
 
-// stir notes that something changed for a group, so that the next sweep looks at its requests.
-func (r *Router) stir(g *group) {
-	if g.stirred = true; len(g.queue) > 0 {
+// markDirty makes the next sweep consider the group's requests, as something changed that may decide one.
+func (r *Router) markDirty(g *group) {
+	if g.dirty = true; len(g.queue) > 0 {
 		r.looks.set(&g.look, math.MinInt64)
 	}
 }
 
-// pollAt sets the timer of a server's next poll.
+// pollAt sets the time of a server's next poll.
 func (r *Router) pollAt(s *server, at time.Duration) {
 	if s.nextPoll = at; !s.polling && s.life != LifeGone {
 		r.polls.set(&s.timer, at)
 	}
 }
 
-func (r *Router) entry(e *Entry) {
+// applyEntry adds or updates a listed server. A server that started since then is cold again, and one that was
+// removed after a drain returns only with a newer start.
+func (r *Router) applyEntry(e *Entry) {
 	s := r.servers[e.Server]
-	if s != nil && s.dropped && e.Started > s.started {
+	if s != nil && s.drained && e.Started > s.started {
 		s = nil
 	}
 	switch {
-	case e.Life == LifeGone || s != nil && s.dropped:
-		r.gone(s)
+	case e.Life == LifeGone || s != nil && s.drained:
+		r.removeServer(s)
 		return
 	case s == nil:
-		s = &server{id: e.Server, group: r.groupOf(e.Group), credit: r.rng.Float64(), limit: r.startLimit(),
-			polled: !r.cfg.Probing, turn: r.rng.Uint64N(r.turn)} // drawn: routers must not all begin at one
-		s.timer.of = s
-		r.pollAt(s, r.now+time.Duration(r.rng.Float64()*float64(r.idle-r.interval)))
+		s = &server{id: e.Server, group: r.groupOf(e.Group), coldCredit: r.rng.Float64(), limit: r.startLimit(),
+			polled: !r.cfg.Probing, turn: r.rng.Uint64N(r.turn)} // random, so that not all routers begin at the same server
+		s.timer.item = s
+		r.pollAt(s, r.now+time.Duration(r.rng.Float64()*float64(r.idleInterval-r.pollInterval)))
 		r.servers[s.id] = s
 		s.group.members = append(s.group.members, s)
 		slices.SortFunc(s.group.members, func(a, b *server) int { return cmp.Compare(a.id, b.id) })
-	case e.Started > max(s.started, s.assumed):
-		s.credit = r.rng.Float64()
+	case e.Started > max(s.started, s.assumedStart):
+		s.coldCredit = r.rng.Float64()
 		r.pollAt(s, r.now)
 		if s.group.primary == s {
-			s.group.primary = nil // a process that started again begins as a replica
+			s.group.primary = nil // a restarted process begins as a replica
 		}
 	}
-	// An old list may come again: a drain once told binds until the process has started anew.
+	// An outdated list may be delivered again: a drain stays in force until the process restarts.
 	if e.Life != s.life && (s.life != LifeDraining || e.Started > s.started) {
-		s.life, s.toldAt = e.Life, r.now
+		s.life, s.lifeSince = e.Life, r.now
 	}
 	s.zone, s.started = e.Zone, max(s.started, e.Started)
 }
 
-// ours is this router's part of what all routers may have out at a server.
-func (r *Router) ours(total float64) float64 { return total / float64(max(r.cfg.Routers, 1)) }
+// routerShare is this router's part of a load that all routers together may put on a server.
+func (r *Router) routerShare(total float64) float64 { return total / float64(max(r.cfg.Routers, 1)) }
 
-// startLimit is at most 2: with few routers, an unknown server is not worth more.
-func (r *Router) startLimit() float64 { return max(1, min(2, r.ours(startLimit))) }
+// startLimit is the limit of a server of unknown capacity (slow start). It is at most 2, or a few routers would
+// send a cold server all of totalStartLimit at once.
+func (r *Router) startLimit() float64 { return max(1, min(2, r.routerShare(totalStartLimit))) }
 
-// gone drops a server. Where only draining binds, a list that merely lacks it proves nothing.
-func (r *Router) gone(s *server) {
+// removeServer evicts a server that the list has removed. With SoftRemoval a server that was not draining stays:
+// an incomplete list must not take servers out of use.
+func (r *Router) removeServer(s *server) {
 	if s == nil || s.life == LifeGone || r.cfg.SoftRemoval && s.life != LifeDraining {
 		return
 	}
 	r.polls.remove(&s.timer)
-	if s.life, s.dropped = LifeGone, s.life == LifeDraining; !s.dropped {
+	if s.life, s.drained = LifeGone, s.life == LifeDraining; !s.drained {
 		delete(r.servers, s.id)
 	}
 	s.group.members = slices.DeleteFunc(s.group.members, func(m *server) bool { return m == s })
@@ -300,141 +337,150 @@
 func (r *Router) groupOf(n int) *group {
 	g := r.groups[n]
 	if g == nil {
-		g = &group{latency: float64(r.interval) / 4, pools: [3]pool{{pace: 1}, {pace: 1}, {allow: r.rng.Float64()}},
+		g = &group{latency: float64(r.pollInterval) / 4, pools: [3]pool{{pace: 1}, {pace: 1}, {allowance: r.rng.Float64()}},
 			place: len(r.order)}
-		g.look.of = g
+		g.look.item = g
 		r.groups[n] = g
 		r.order = append(r.order, g)
 	}
 	return g
 }
 
-// pollDue sends the polls whose own timers have come (step 1), and tells when the next one will.
-func (r *Router) pollDue() time.Duration {
-	if r.now >= r.askAt {
+// sendDuePolls subscribes to the list and sends the polls that are due (step 1); it returns when the next
+// of them is due.
+func (r *Router) sendDuePolls() time.Duration {
+	if r.now >= r.subscribeAt {
 		r.acts = append(r.acts, Action{Kind: ActionSubscribe})
-		r.askAt = math.MaxInt64
+		r.subscribeAt = math.MaxInt64
 	}
 	if !r.cfg.Probing {
-		return r.askAt
+		return r.subscribeAt
 	}
-	list := r.polls.take(r.now, r.due[:0])
+	list := r.polls.popDue(r.now, r.due[:0])
 	r.due = list
 	slices.SortFunc(list, func(a, b *server) int {
 		return cmp.Or(cmp.Compare(a.group.place, b.group.place), cmp.Compare(a.id, b.id))
 	})
 	for _, s := range list {
-		r.poll(s)
+		r.sendPoll(s)
 	}
 	if next, ok := r.polls.next(); ok {
-		return min(next, r.askAt)
+		return min(next, r.subscribeAt)
 	}
-	return r.askAt
+	return r.subscribeAt
 }
 
-func (r *Router) poll(s *server) {
+func (r *Router) sendPoll(s *server) {
 	s.polling, s.polledAt = true, r.now
 	r.polls.remove(&s.timer)
-	r.stir(s.group)
+	r.markDirty(s.group)
 	r.acts = append(r.acts, Action{Kind: ActionPoll, Server: s.id})
 }
 
-func (r *Router) polledBy(e *Event) {
+// onPoll takes the result of a poll and schedules the next one, with backoff after failures (step 1).
+// Consecutive failures make the server unavailable until it answers a poll.
+func (r *Router) onPoll(e *Event) {
 	s := r.servers[e.Server]
-	if s == nil || s.dropped {
+	if s == nil || s.drained {
 		return
 	}
 	if s.polling = false; e.Outcome == OutcomeOK {
-		// After what looked like a death it starts slowly: the list is late. A broken connection is no death, nor
-		// are many in a short time.
-		if died := s.fails >= failureLimit || s.reset && s.fails > 0; died &&
-			r.now-max(s.met, s.answered) > pollCap*r.interval {
-			s.assumed, s.limit, s.credit = r.now, r.startLimit(), r.rng.Float64()
+		// After an apparent restart the server starts slowly without waiting for the list, which comes late. A broken
+		// connection is no evidence of a restart, nor are many within a short time.
+		if outage := s.failedPolls >= failureLimit || s.connReset && s.failedPolls > 0; outage &&
+			r.now-max(s.pollAnsweredAt, s.answeredAt) > pollCap*r.pollInterval {
+			s.assumedStart, s.limit, s.coldCredit = r.now, r.startLimit(), r.rng.Float64()
 		}
-		if s.unreached && s.fails == 0 {
-			r.scarce = r.now + regain
+		if s.dialFailed && s.failedPolls == 0 {
+			r.connLimitedUntil = r.now + observationTTL
 		}
-		s.fails, s.polled, s.reset, s.unreached, s.met = 0, true, false, false, r.now
-		r.report(s, &e.Report)
+		s.failedPolls, s.polled, s.connReset, s.dialFailed, s.pollAnsweredAt = 0, true, false, false, r.now
+		r.applyReport(s, &e.Report)
 		if s.group.primary == s && e.Report.Primary {
-			s.group.named = max(s.group.named, r.now-e.Age)
+			s.group.confirmedAt = max(s.group.confirmedAt, r.now-e.Age)
 		}
-		r.kick = true
-	} else if s.fails++; s.fails >= failureLimit {
+		r.sweepNeeded = true
+	} else if s.failedPolls++; s.failedPolls >= failureLimit {
 		s.polled = false
 	}
-	wait := r.idle
-	if s.fails > 0 {
-		wait = min(time.Duration(1+s.fails)*r.interval, pollCap*r.idle)
+	wait := r.idleInterval
+	if s.failedPolls > 0 {
+		wait = min(time.Duration(1+s.failedPolls)*r.pollInterval, pollCap*r.idleInterval)
 	}
-	r.pollAt(s, r.now+wait+time.Duration(pollJitter*r.rng.Float64()*float64(min(wait, r.idle))))
-	r.stir(s.group)
+	r.pollAt(s, r.now+wait+time.Duration(pollJitter*r.rng.Float64()*float64(min(wait, r.idleInterval))))
+	r.markDirty(s.group)
 }
 
-func (r *Router) report(s *server, rep *Report) {
+// applyReport learns role and position from a server's report of itself. A deposed primary's own denial ends its
+// role, unless the report is older than its claim.
+func (r *Router) applyReport(s *server, rep *Report) {
 	at := r.cfg.Origin + rep.Position
 	switch {
 	case !rep.Valid || !rep.HasPosition:
 		return
 	case rep.HasRole && rep.Primary:
-		r.claims(s, at)
-	case rep.HasRole && s.group.primary == s && at >= s.group.claim: // deposed, it stands where it claimed
+		r.claimPrimary(s, at)
+	case rep.HasRole && s.group.primary == s && at >= s.group.claimedAt: // a deposed primary may stay at the position of its claim
 		s.group.primary = nil
 	}
-	s.stands(at, r.now)
+	s.advancePosition(at, r.now)
 }
 
-func (s *server) stands(at, now time.Duration) {
+func (s *server) advancePosition(at, now time.Duration) {
 	if at > s.position {
-		s.position, s.heardAt = at, now
+		s.position, s.positionAt = at, now
 	}
 }
 
-// note takes what an answer tells. The position of a write's answer is its commit, rounded up.
-func (r *Router) note(s *server, e *Event, write bool) {
+// applyAnswer learns position and role from an answer. A write's answer carries its commit position, rounded up
+// to a millisecond, which is undone here so that no replica counts as fresher than it is.
+func (r *Router) applyAnswer(s *server, e *Event, write bool) {
 	at := r.now - r.cfg.Round
 	if (e.Position > 0 || e.Report.HasPosition) && s.group.primary != nil && s.nextPoll > r.now {
-		// It tells what a poll would, and polls of many routers are dear. With no primary none is put off.
-		r.pollAt(s, max(s.nextPoll, min(r.now+r.idle, s.polledAt+pollCap*r.idle)))
+		// The answer replaces a poll, which saves load where there are many routers. Without a primary no poll is put off.
+		r.pollAt(s, max(s.nextPoll, min(r.now+r.idleInterval, s.polledAt+pollCap*r.idleInterval)))
 	}
 	if e.Position > 0 {
 		at = r.cfg.Origin + e.Position
 		if write && e.Outcome == OutcomeOK {
 			at -= time.Millisecond
 		}
-		s.stands(at, r.now)
+		s.advancePosition(at, r.now)
 	}
 	switch e.Role {
 	case RolePrimary:
-		r.claims(s, at)
+		r.claimPrimary(s, at)
 	case RoleReplica:
-		// It was no primary at some time since the send; positions in answers, cut to milliseconds, look older.
+		// It was not the primary at some time since the send; positions in answers are truncated to milliseconds.
 		if at = max(at, r.now-e.Age); e.Outcome == OutcomeMiss && write {
 			at = r.now
 		}
-		s.denied = max(s.denied, at)
-		if s.group.primary == s && at+time.Millisecond > s.group.claim {
+		s.deniedAt = max(s.deniedAt, at)
+		if s.group.primary == s && at+time.Millisecond > s.group.claimedAt {
 			s.group.primary = nil
-			r.hurry(s.group, 0)
+			r.expeditePolls(s.group, 0)
 		}
 	}
-	r.report(s, &e.Report)
+	r.applyReport(s, &e.Report)
 }
 
-// claims names s primary as of a time. A primary's position is the present, so positions order all claims.
-func (r *Router) claims(s *server, at time.Duration) {
+// claimPrimary makes s the primary as of a time unless a newer claim or denial is known: a delayed report must not
+// bring back a deposed primary. A primary's position is its current time, so positions order all claims.
+func (r *Router) claimPrimary(s *server, at time.Duration) {
 	g := s.group
-	if at <= s.denied || at <= g.claim {
+	if at <= s.deniedAt || at <= g.claimedAt {
 		return
 	}
-	g.claim = at
+	g.claimedAt = at
 	if g.primary != s {
-		r.log(primaryLog + strconv.FormatUint(uint64(s.id), 16))
-		g.primary, r.kick = s, true
+		r.log(primaryLogPrefix + strconv.FormatUint(uint64(s.id), 16))
+		g.primary, r.sweepNeeded = s, true
 	}
 }
 
-func (r *Router) hurry(g *group, within time.Duration) {
+// expeditePolls brings the polls of a group's members forward, so that a new primary is found before their timers
+// fire.
+func (r *Router) expeditePolls(g *group, within time.Duration) {
 	for _, s := range g.members {
 		if r.now+within < s.nextPoll {
 			r.pollAt(s, r.now+within)
@@ -442,7 +488,9 @@
 	}
 }
 
-func (r *Router) request(e *Event) {
+// onRequest rejects a request without time left, and dispatches or holds any other. It sets the position that a
+// session read must observe, which guards against reads that miss the session's own writes.
+func (r *Router) onRequest(e *Event) {
 	if r.open[e.Request] != nil {
 		return
 	} else if e.Class < 0 || e.Class >= len(r.cfg.Classes) {
@@ -450,71 +498,73 @@
 		return
 	}
 	q := &request{id: e.Request, class: &r.cfg.Classes[e.Class], group: r.groupOf(e.Group), key: e.Key,
-		arrived: r.now, deadline: e.Deadline, after: -1}
+		arrived: r.now, deadline: e.Deadline, primaryAfter: -1}
 	if q.class.Need == NeedSession && r.cfg.RouterTokens {
-		if q.need = max(r.floor, r.sessions[e.Key]); r.writes[e.Key] > 0 {
-			q.need = r.now // one may have run already, and its answer be lost
+		if q.minPosition = max(r.sessionFloor, r.sessions[e.Key]); r.writes[e.Key] > 0 {
+			q.minPosition = r.now // a pending write may have run already, and its answer may be lost
 		}
 	} else if q.class.Need == NeedSession && e.SinceWrite > 0 {
-		q.need = r.now - e.SinceWrite
+		q.minPosition = r.now - e.SinceWrite
 	}
 	r.open[q.id] = q
-	if r.now >= r.lastCall(q) {
-		r.finish(q) // it may come with no time left: waiting for a sweep would lose it
+	if r.now >= r.giveUpAt(q) {
+		r.finish(q) // no time is left, and an answer from the next sweep would be too late
 		return
 	}
 	r.arrivals++
-	q.number, q.group.queue = r.arrivals, append(q.group.queue, q)
-	r.stir(q.group)
+	q.arrival, q.group.queue = r.arrivals, append(q.group.queue, q)
+	r.markDirty(q.group)
 	g := q.pool()
-	g.allow = min(g.allow+g.pace, 2)
+	g.allowance = min(g.allowance+g.pace, 2)
 	for _, s := range q.group.members {
 		if s.polledAt == 0 {
-			r.pollAt(s, r.now) // the first polls of many routers are spread, but for work that waits
+			r.pollAt(s, r.now) // first polls are spread over time unless a request waits for one
 		}
 	}
-	r.place(q)
+	r.dispatch(q)
 }
 
-// place sends q to its server, if there is one that may have it now.
-func (r *Router) place(q *request) bool {
-	if !r.maySend(q) || q.sends == 0 && !q.pool().admits() || q.full && r.budget < 1 {
-		return false // a full server's peers are likely full: hold it
+// dispatch sends q to a server and reports whether one could take it now (admission control): the class's rule
+// for further attempts, the pool's pace and the retry budget each can hold q back.
+func (r *Router) dispatch(q *request) bool {
+	if !r.maySend(q) || q.sends == 0 && !q.pool().admits() || q.refusedFull && r.retryBudget < 1 {
+		return false // the peers of an overloaded server are likely overloaded too: hold it
 	}
 	s := r.pick(q)
 	if s == nil {
 		return false
 	}
-	if q.full {
-		r.budget, q.full = r.budget-1, false
+	if q.refusedFull {
+		r.retryBudget, q.refusedFull = r.retryBudget-1, false
 	}
 	if q.sends == 0 {
-		q.pool().allow--
-		r.budget = min(r.budget+retryShare, retryBurst)
+		q.pool().allowance--
+		r.retryBudget = min(r.retryBudget+retryShare, retryBurst)
 	}
-	if q.out == 0 && !q.ran {
-		q.since, q.zone = r.now, s.zone
+	if q.pending == 0 && !q.mayHaveRun {
+		q.windowStart, q.zone = r.now, s.zone
 	}
 	if q.class.Need == NeedWrite {
 		r.writes[q.key]++
 	}
-	s.out = append(s.out, flight{q.id, q.sends, r.now, r.freshen(s)})
+	s.pending = append(s.pending, pendingAttempt{q.id, q.sends, r.now, r.dropStaleConns(s)})
 	r.acts = append(r.acts, Action{Kind: ActionTry, Request: q.id, Server: s.id})
-	q.sends, q.out, q.last, q.sent, q.pulled = q.sends+1, q.out+1, s, r.now, false
+	q.sends, q.pending, q.lastServer, q.lastSent, q.withdrawn = q.sends+1, q.pending+1, s, r.now, false
 	r.turn, s.turn = r.turn+1, r.turn+1
 	if q.class.Need > NeedFresh && s == q.group.primary {
-		q.group.pools[2].allow--
+		q.group.pools[2].allowance--
 	}
-	r.credit(s, q)
+	r.accountSend(s, q)
 	return true
 }
 
-// freshen tells how long s's connection has been idle, and closes it if requests were lost on such before.
-func (r *Router) freshen(s *server) time.Duration {
-	idle := r.now - s.answered
-	if s.answered == 0 || len(s.out) > 0 {
+// dropStaleConns returns how long the connection that s is to use next has been idle, 0 for a new one. It closes
+// idle connections of an age at which a request was lost before: networks may drop them without notice.
+func (r *Router) dropStaleConns(s *server) time.Duration {
+	idle := r.now - s.answeredAt
+	if s.answeredAt == 0 || len(s.pending) > 0 {
 		return 0
-	} else if r.reap == 0 || idle < r.reap || r.now-r.reapedAt > regain { // later it may have passed
+	} else if r.idleCutoff == 0 || idle < r.idleCutoff || r.now-r.idleCutoffAt > observationTTL { // an older observation no longer counts
 		return idle
 	}
 	r.acts = append(r.acts, Action{Kind: ActionDisconnect, Server: s.id})
@@ -522,221 +572,243 @@
 	return 0
 }
 
-// lost tells whether q's silent attempt was the first on a long idle connection. Guards against connections
-// dropped unseen, on any way; a hung server costs one more attempt, on a new connection, before it is left.
-func (r *Router) lost(s *server, q *request) bool {
-	i := slices.IndexFunc(s.out, func(f flight) bool { return f.id == q.id && f.attempt == q.sends-1 })
-	if i < 0 || s.out[i].idle < r.interval || r.now < r.scarce || r.checked {
+// connLost reports whether q's unanswered attempt was the first on a connection idle for long, and then removes
+// the attempt from the pending ones. Guards against connections that were dropped without notice; at a hung server
+// it costs one more attempt, on a new connection.
+func (r *Router) connLost(s *server, q *request) bool {
+	i := slices.IndexFunc(s.pending, func(f pendingAttempt) bool { return f.id == q.id && f.attempt == q.sends-1 })
+	if i < 0 || s.pending[i].idle < r.pollInterval || r.now < r.connLimitedUntil || r.connsChecked {
 		return false
 	}
-	if r.reap == 0 || s.out[i].idle < r.reap || r.now-r.reapedAt > regain {
-		r.reap = s.out[i].idle
+	if r.idleCutoff == 0 || s.pending[i].idle < r.idleCutoff || r.now-r.idleCutoffAt > observationTTL {
+		r.idleCutoff = s.pending[i].idle
 	}
-	r.reapedAt = r.now
-	s.out = slices.Delete(s.out, i, i+1)
+	r.idleCutoffAt = r.now
+	s.pending = slices.Delete(s.pending, i, i+1)
 	return true
 }
 
-// maySend is the ledger's one say on whether a further attempt is legal for the class.
+// maySend reports whether another attempt is allowed. Guards against executing twice what must run once: beyond
+// the first attempt that may have run, only safe requests and keyed ones within their window may be sent again.
 func (r *Router) maySend(q *request) bool {
 	if q.done || q.streamed || q.sends >= r.cfg.TryLimit || r.now >= q.deadline ||
-		q.out > 0 && !r.cfg.ParallelTries {
+		q.pending > 0 && !r.cfg.ParallelTries {
 		return false
 	}
-	return q.out == 0 && !q.ran || q.class.Effect == Safe ||
-		q.class.Effect == Keyed && r.now-q.since < q.class.Window-2*r.cfg.Round
+	return q.pending == 0 && !q.mayHaveRun || q.class.Effect == Safe ||
+		q.class.Effect == Keyed && r.now-q.windowStart < q.class.Window-2*r.cfg.Round
 }
 
-// strays tells whether a resend would leave the servers that discard repeats; the group is always the same.
-func (q *request) strays(s *server) bool {
-	return q.class.Scope == ScopeZone && s.zone != q.zone && (q.ran || q.out > 0)
+// leavesScope reports whether a further attempt at s would run outside the zone whose servers discard repeats,
+// and so might run twice. A request never leaves its group.
+func (q *request) leavesScope(s *server) bool {
+	return q.class.Scope == ScopeZone && s.zone != q.zone && (q.mayHaveRun || q.pending > 0)
 }
 
-// mayReject is the ledger's say on whether a client may be told that a further try is harmless.
+// mayReject reports whether the client may be answered that retrying is harmless: nothing ran, or a repeat is
+// safe. Otherwise the client's own retry could run a write twice.
 func (q *request) mayReject() bool {
-	return q.class.Effect == Safe || q.out == 0 && !q.ran || q.class.Effect == Keyed && q.class.Scope == ScopeAll
+	return q.class.Effect == Safe || q.pending == 0 && !q.mayHaveRun || q.class.Effect == Keyed && q.class.Scope == ScopeAll
 }
 
-// pick chooses the server (steps 3 and 4).
+// pick chooses the server for a request (steps 3 and 4), nil if none may take it now. Writes go to the primary,
+// reads to a replica that is fresh enough, or else to the primary.
 func (r *Router) pick(q *request) *server {
 	p := q.group.primary
 	if q.class.Need <= NeedFresh {
-		if p == nil && !r.cfg.Probing && q.class.Need == NeedWrite { // nothing else finds it; a miss is harmless
-			p = r.best(q, func(*server, *request) bool { return true })
+		if p == nil && !r.cfg.Probing && q.class.Need == NeedWrite { // without polls only a miss finds the primary, and a miss runs nothing
+			p = r.bestReplica(q, func(*server, *request) bool { return true })
 		}
-		if p == nil || q.strays(p) || q.group.named < q.after && r.cfg.Probing || !r.takes(p, q) {
+		if p == nil || q.leavesScope(p) || q.group.confirmedAt < q.primaryAfter && r.cfg.Probing || !r.accepts(p, q) {
 			return nil
 		}
 		return p
 	}
-	s := r.best(q, r.proven)
+	s := r.bestReplica(q, r.freshEnough)
 	if s == nil && r.cfg.Behind != BehindServe && !q.missed {
-		s = r.best(q, r.hopeful)
+		s = r.bestReplica(q, r.mayCatchUp)
 	}
-	if s != nil || p == nil || p == q.last || r.proving(q) || !r.takes(p, q) || !r.fallsBack(q) {
+	if s != nil || p == nil || p == q.lastServer || r.expediteForRead(q) || !r.accepts(p, q) || !r.mayFallBack(q) {
 		return s
 	}
 	return p
 }
 
-// fallsBack tells whether a read may go to the primary. The part that may starts at one member's share, or at
-// all where routers are few, and moves with the answers. Guards writes against reads of lagging replicas.
-func (r *Router) fallsBack(q *request) bool {
+// mayFallBack reports whether a read may go to the primary. Guards writes against a surge of reads when replicas
+// lag. The admitted share starts at one member's part of the reads, or at all of them with few routers, and
+// then follows the answers.
+func (r *Router) mayFallBack(q *request) bool {
 	f := &q.group.pools[2]
 	if f.pace == 0 {
-		f.pace = min(1, max(1/float64(len(q.group.members)), 2*r.ours(pollCrowd)))
+		f.pace = min(1, max(1/float64(len(q.group.members)), 2*r.routerShare(pollersPerInterval)))
 	}
 	if !q.fallback {
-		q.fallback, f.allow = true, min(f.allow+f.pace, 1)
-		r.stir(q.group)
+		q.fallback, f.allowance = true, min(f.allowance+f.pace, 1)
+		r.markDirty(q.group)
 	}
 	return f.admits()
 }
 
-func (p *pool) admits() bool { return p.pace >= 1 || p.allow >= 1 }
+// admits reports whether another first attempt may be sent (load shedding).
+func (p *pool) admits() bool { return p.pace >= 1 || p.allowance >= 1 }
 
-// proving hurries polls for a read that no told position suits, and tells whether one is still out. Timers
-// and answers of many routers are too far apart to prove freshness. It hurts when reports are older than the
-// bound: the read then goes to the primary one poll later.
-func (r *Router) proving(q *request) bool {
-	first := func(s *server) bool { return s.heardAt == 0 && s.fails == 0 } // its first poll is not back
-	if !r.cfg.Probing || slices.ContainsFunc(q.group.members, first) {
+// expediteForRead sends expedited polls for a read that no reported position suits, and reports whether one is in
+// flight. Guards against needless fallback to the primary: with many routers, polls and answers are too rare to
+// prove freshness. If reports are older than the bound, the read reaches the primary one poll later.
+func (r *Router) expediteForRead(q *request) bool {
+	firstPollPending := func(s *server) bool { return s.positionAt == 0 && s.failedPolls == 0 } // its first poll is unanswered
+	if !r.cfg.Probing || slices.ContainsFunc(q.group.members, firstPollPending) {
 		return r.cfg.Probing
 	} else if r.cfg.Behind != BehindServe || q.class.Need == NeedAny {
 		return false
 	}
-	for ; q.asked < proofPolls; q.asked++ {
-		s := r.best(q, func(s *server, q *request) bool {
-			return !s.polling && r.now-max(s.polledAt, s.heardAt) > r.interval && !r.proven(s, q)
+	for ; q.expedited < expeditedPolls; q.expedited++ {
+		s := r.bestReplica(q, func(s *server, q *request) bool {
+			return !s.polling && r.now-max(s.polledAt, s.positionAt) > r.pollInterval && !r.freshEnough(s, q)
 		})
 		if s == nil {
 			break
 		}
-		r.poll(s)
-		q.askedAt = r.now
+		r.sendPoll(s)
+		q.expeditedAt = r.now
 	}
-	return q.asked > 0 && r.now-q.askedAt < 10*r.cfg.Round && slices.ContainsFunc(q.group.members,
-		func(s *server) bool { return s.polling && s.polledAt == q.askedAt })
+	return q.expedited > 0 && r.now-q.expeditedAt < 10*r.cfg.Round && slices.ContainsFunc(q.group.members,
+		func(s *server) bool { return s.polling && s.polledAt == q.expeditedAt })
 }
 
-// inTurn orders by outstanding requests, ties by idle connections, as a new one costs the server work, then
-// in turn. While connections are refused, open ones go first: that keeps a small router on its few servers.
-func (r *Router) inTurn(a, b *server) int {
-	if r.now < r.scarce {
-		return cmp.Or(cmp.Compare(b.idleConns(), a.idleConns()), cmp.Compare(b.answered, a.answered))
+// compareServers orders servers by preference: fewest pending requests, then an idle connection, as a new one
+// costs the server work, then round robin. Servers with a recent time-out come last (outlier detection). While
+// servers refuse connections, those with open ones come first, so that a router with few requests opens no more.
+func (r *Router) compareServers(a, b *server) int {
+	if r.now < r.connLimitedUntil {
+		return cmp.Or(cmp.Compare(b.idleConns(), a.idleConns()), cmp.Compare(b.answeredAt, a.answeredAt))
 	}
-	return cmp.Or(cmp.Compare(r.doubt(a), r.doubt(b)), cmp.Compare(len(a.out), len(b.out)),
-		cmp.Compare(r.atHand(b), r.atHand(a)), cmp.Compare(a.turn, b.turn))
+	return cmp.Or(cmp.Compare(r.penaltyLeft(a), r.penaltyLeft(b)), cmp.Compare(len(a.pending), len(b.pending)),
+		cmp.Compare(r.connReady(b), r.connReady(a)), cmp.Compare(a.turn, b.turn))
 }
 
-// atHand is 1 for a server with an idle connection, a cold one, which its credit holds, and with few routers.
-func (r *Router) atHand(s *server) int {
-	if r.cfg.Routers <= pollCrowd || r.warmth(s) < 1 {
+// connReady is 1 if s has an idle connection, else 0. It is always 1 for cold servers, which coldCredit limits, and
+// with up to pollersPerInterval routers.
+func (r *Router) connReady(s *server) int {
+	if r.cfg.Routers <= pollersPerInterval || r.warmth(s) < 1 {
 		return 1
 	}
 	return s.idleConns()
 }
 
-// doubt is how long a server that left a request unanswered is passed over, until it answers one.
-func (r *Router) doubt(s *server) time.Duration { return max(0, s.failed+regain-r.now) }
+// penaltyLeft is how long a server is still passed over because a request timed out there (outlier detection);
+// an answer ends it.
+func (r *Router) penaltyLeft(s *server) time.Duration {
+	return max(0, s.unansweredAt+observationTTL-r.now)
+}
 
-func (s *server) idleConns() int { return max(0, min(1, s.conns-len(s.out))) }
+// idleConns is 1 if the server has an idle connection, else 0.
+func (s *server) idleConns() int { return max(0, min(1, s.conns-len(s.pending))) }
 
-// best picks the first in turn among the replicas that fit and have room.
-func (r *Router) best(q *request, fit func(*server, *request) bool) *server {
+// bestReplica returns the preferred replica that satisfies fit and accepts the request, nil if there is none. The
+// server of the last attempt is left out.
+func (r *Router) bestReplica(q *request, fit func(*server, *request) bool) *server {
 	var best *server
 	for _, s := range q.group.members {
-		if s != q.group.primary && s != q.last && fit(s, q) && r.takes(s, q) &&
-			(best == nil || r.inTurn(s, best) < 0) {
+		if s != q.group.primary && s != q.lastServer && fit(s, q) && r.accepts(s, q) &&
+			(best == nil || r.compareServers(s, best) < 0) {
 			best = s
 		}
 	}
 	return best
 }
 
-// hopeful tells whether a replica at the pace of the log could have what a read needs by the end of its wait.
-// Guards against lags of seconds that turn each read into a miss; hurts when one catches up faster.
-func (r *Router) hopeful(s *server, q *request) bool {
-	need := q.need
+// mayCatchUp reports whether a replica that replays the log in real time can reach what a read needs within
+// CatchUpWait. Guards against lags of seconds, which would turn each read into a miss; it wrongly excludes a
+// replica that catches up faster.
+func (r *Router) mayCatchUp(s *server, q *request) bool {
+	need := q.minPosition
 	if q.class.Need == NeedBounded {
 		need = r.now - q.class.Bound
 	}
 	return s.position == 0 && !r.cfg.Probing ||
-		s.position > 0 && need <= s.position+(r.now-s.heardAt)+r.cfg.CatchUpWait
+		s.position > 0 && need <= s.position+(r.now-s.positionAt)+r.cfg.CatchUpWait
 }
 
-// proven tells whether a told position suffices; what a server may have applied since does not count.
-func (r *Router) proven(s *server, q *request) bool {
+// freshEnough reports whether a reported position satisfies the read; what the server may have applied since
+// then does not count. Guards against stale reads.
+func (r *Router) freshEnough(s *server, q *request) bool {
 	if q.class.Need == NeedBounded {
 		return s.position >= r.now-q.class.Bound && s.position > 0
 	}
-	return q.class.Need != NeedSession || s.position >= q.need
+	return q.class.Need != NeedSession || s.position >= q.minPosition
 }
 
-// takes tells whether a server is active and has room.
-func (r *Router) takes(s *server, q *request) bool {
-	if !s.polled || !r.room(s, q) || r.silent(s) || !r.warmEnough(s, q) {
+// accepts reports whether a server may get the request: it is available, has capacity, answers, is warm enough,
+// and is not draining.
+func (r *Router) accepts(s *server, q *request) bool {
+	if !s.polled || !r.hasCapacity(s, q) || r.silent(s) || !r.warmEnough(s, q) {
 		return false
 	}
-	// A draining primary still takes writes until it hands over; the grace bounds that.
+	// A draining primary still takes writes until its role is handed over, at most for the drain grace.
 	return s.life == LifeReady || s.life == LifeDraining && s == s.group.primary && q.class.Need <= NeedFresh &&
-		r.now-s.toldAt < r.cfg.DrainGrace-2*r.cfg.Round
+		r.now-s.lifeSince < r.cfg.DrainGrace-2*r.cfg.Round
 }
 
-// room tells whether a server may hold one more; one in use is awaited rather than a dear connection opened.
-func (r *Router) room(s *server, q *request) bool {
+// hasCapacity reports whether a server may have one more pending request (concurrency limit). While connections
+// are scarce, a request waits for one in use rather than open another.
+func (r *Router) hasCapacity(s *server, q *request) bool {
 	share := 1.0
 	if q.class.Need == NeedWrite {
 		share = writeShare
 	} else if q.class.Need > NeedFresh && s == s.group.primary {
 		share = fallbackShare
 	}
-	out := 0.0
-	for _, f := range s.out {
+	pending := 0.0
+	for _, f := range s.pending {
 		if !r.stuck(s, f.sent) {
-			out++
+			pending++
 		}
 	}
-	return out < max(1, s.limit*share) &&
-		(r.now >= r.scarce || s.conns == 0 || len(s.out) < s.conns)
+	return pending < max(1, s.limit*share) &&
+		(r.now >= r.connLimitedUntil || s.conns == 0 || len(s.pending) < s.conns)
 }
 
-// silent tells whether a server keeps requests without answering any: hangs, pauses and cut links. What
-// others overtook proves nothing.
+// silent reports whether a server leaves its pending requests unanswered (outlier detection): a hang, a pause or a
+// partitioned network. Requests sent before the newest answered one are left out: they may be slow alone.
 func (r *Router) silent(s *server) bool {
-	i := slices.IndexFunc(s.out, func(f flight) bool { return f.sent >= s.latest })
-	return i >= 0 && r.now-max(s.answered, s.out[i].sent) > r.patience(s)
+	i := slices.IndexFunc(s.pending, func(f pendingAttempt) bool { return f.sent >= s.newestAnswered })
+	return i >= 0 && r.now-max(s.answeredAt, s.pending[i].sent) > r.silenceTimeout(s)
 }
 
-// stuck tells whether a request was overtaken by one sent later and has waited for long: most likely its
-// connection alone went silent. It takes no room and says nothing of its server. Hurts when it is only long.
+// stuck reports whether a request sent at that time has waited for long although a later one was answered: most
+// likely its connection alone is dead. Such a request uses no capacity and is no evidence against the server; a
+// request that merely takes long is misjudged.
 func (r *Router) stuck(s *server, sent time.Duration) bool {
-	return sent < s.latest && r.now-sent > r.patience(s)
+	return sent < s.newestAnswered && r.now-sent > r.silenceTimeout(s)
 }
 
-// patience is how long a server may go without an answer: a lone long request must not look like silence.
-func (r *Router) patience(s *server) time.Duration {
-	return max(time.Duration(patienceFactor*s.group.latency), 10*r.cfg.Round)
+// silenceTimeout is how long a server may leave requests unanswered before it counts as silent. It spans many
+// mean latencies, so that a single long request does not look like a hang.
+func (r *Router) silenceTimeout(s *server) time.Duration {
+	return max(time.Duration(silenceFactor*s.group.latency), 10*r.cfg.Round)
 }
 
-// warmEnough tells whether a server is warm or has credit: all routers together must not push it over.
+// warmEnough reports whether a server is warm or has credit (slow start): the load of all routers together must not
+// overload a cold server.
 func (r *Router) warmEnough(s *server, q *request) bool {
 	share := r.warmth(s)
-	if share < 1 && s == s.group.primary && q.class.Need <= NeedFresh && !q.counted &&
+	if share < 1 && s == s.group.primary && q.class.Need <= NeedFresh && !q.coldCounted &&
 		r.now-q.arrived < r.cfg.Fall {
-		// Nothing else takes these. What waited longer does not count: a backlog would come at once.
-		q.counted = true
-		s.credit += share * max(1, r.cfg.TipMultiple/2)
+		// Only the primary can serve these. Older requests earn no credit, or a backlog would arrive at once.
+		q.coldCounted = true
+		s.coldCredit += share * max(1, r.cfg.TipMultiple/2)
 	}
-	return share >= 1 || s.credit >= 1
+	return share >= 1 || s.coldCredit >= 1
 }
 
-// credit books a send. A read sent to a warm replica gives cold peers their least warmth's part of a warm
-// peer's share. Credit starts at random below one, so the sends of any number of routers with less than one
-// each add up, in the mean, to that part of a warm server's load. Hurts where warm peers are overloaded.
-func (r *Router) credit(s *server, q *request) {
+// accountSend charges a send to a cold server's credit. A read sent to a warm replica earns each cold peer its
+// warmth as a fraction of a warm peer's share. Initial credit is random and below one, so that the sends of many
+// routers with few requests each add up, in the mean, to that fraction of a warm server's load. Overloaded warm
+// peers would earn cold ones too much.
+func (r *Router) accountSend(s *server, q *request) {
 	if r.warmth(s) < 1 {
-		s.credit--
+		s.coldCredit--
 		return
 	}
 	warm := 0.0
@@ -747,16 +819,16 @@
 	}
 	for _, m := range s.group.members {
 		if w := r.warmth(m); w < 1 && m != s.group.primary && q.class.Need > NeedFresh {
-			m.credit = min(m.credit+w/max(warm, 1), 2)
+			m.coldCredit = min(m.coldCredit+w/max(warm, 1), 2)
 		}
 	}
 }
 
-// warmth is the least share of its capacity that a server has by now.
+// warmth is the least share of its capacity, up to 1, that a server has at this time after its start.
 func (r *Router) warmth(s *server) float64 {
 	start := s.started
-	if r.now-s.assumed < regain { // by then a list has told it, if it did start
-		start = max(start, s.assumed)
+	if r.now-s.assumedStart < observationTTL { // if it did restart, the list shows that by then
+		start = max(start, s.assumedStart)
 	}
 	age := r.now - start
 	if start == 0 || age >= r.cfg.RampTime {
@@ -765,20 +837,22 @@
 	return r.cfg.ColdFrom + (1-r.cfg.ColdFrom)*float64(max(age, 0))/float64(r.cfg.RampTime)
 }
 
-func (r *Router) outcome(e *Event) {
+// onOutcome takes the outcome of an attempt and retries or ends its request. A write that may have run counts for its
+// session even without an answer, or a later read could miss it.
+func (r *Router) onOutcome(e *Event) {
 	q := r.open[e.Request]
 	if s := r.servers[e.Server]; s != nil {
-		r.landed(s, q, e)
+		r.attemptEnded(s, q, e)
 	}
-	if r.kick = true; q == nil {
+	if r.sweepNeeded = true; q == nil {
 		return
 	}
-	r.stir(q.group)
-	if q.out--; q.class.Need == NeedWrite {
+	r.markDirty(q.group)
+	if q.pending--; q.class.Need == NeedWrite {
 		if r.writes[q.key]--; r.writes[q.key] == 0 {
 			delete(r.writes, q.key)
 		}
-		if commit := r.now; r.cfg.RouterTokens && !e.Outcome.NeverRan() { // it may have, without an answer
+		if commit := r.now; r.cfg.RouterTokens && !e.Outcome.NeverRan() { // it may have run without an answer
 			if e.Outcome == OutcomeOK && e.Position > 0 {
 				commit = r.cfg.Origin + e.Position
 			}
@@ -789,284 +863,298 @@
 		r.close(q)
 		return
 	}
-	if q.ran = q.ran || !e.Outcome.NeverRan(); e.Outcome.NeverRan() {
+	if q.mayHaveRun = q.mayHaveRun || !e.Outcome.NeverRan(); e.Outcome.NeverRan() {
 		q.missed = q.missed || e.Outcome == OutcomeMiss
-		q.full = e.Outcome == OutcomeFull
+		q.refusedFull = e.Outcome == OutcomeFull
 		if q.class.Need == NeedWrite {
-			q.after = r.now
-			r.hurry(q.group, 0)
+			q.primaryAfter = r.now
+			r.expeditePolls(q.group, 0)
 		}
 	}
-	if q.out == 0 {
-		r.again(q)
+	if q.pending == 0 {
+		r.retry(q)
 	}
 }
 
-// landed books an attempt's end at its server.
-func (r *Router) landed(s *server, q *request, e *Event) {
-	r.stir(s.group)
-	s.out = slices.DeleteFunc(s.out, func(f flight) bool { return f.id == e.Request && f.attempt == e.Attempt })
+// attemptEnded updates a server's state by the outcome of an attempt there; q is nil if the request is no longer
+// known. Time-outs of attempts with little time, and of stuck ones, count for nothing: they are no sign of load.
+func (r *Router) attemptEnded(s *server, q *request, e *Event) {
+	r.markDirty(s.group)
+	s.pending = slices.DeleteFunc(s.pending, func(f pendingAttempt) bool { return f.id == e.Request && f.attempt == e.Attempt })
 	switch e.Outcome {
 	case OutcomeOK, OutcomeError, OutcomeFull, OutcomeMiss:
-		s.answered, s.failed, s.conns = r.now, 0, max(s.conns, len(s.out)+1)
-		s.latest = max(s.latest, r.now-e.Age)
-		r.note(s, e, q != nil && q.class.Need == NeedWrite)
+		s.answeredAt, s.unansweredAt, s.conns = r.now, 0, max(s.conns, len(s.pending)+1)
+		s.newestAnswered = max(s.newestAnswered, r.now-e.Age)
+		r.applyAnswer(s, e, q != nil && q.class.Need == NeedWrite)
 		if q != nil && e.Outcome == OutcomeOK {
-			r.learn(s, q, e.Age)
+			r.adapt(s, q, e.Age)
 		} else if q != nil && e.Outcome == OutcomeFull {
-			r.cut(s, q, fullCut, paceCut)
+			r.reduceLimit(s, q, overloadDecrease, paceDecrease)
 		}
 	case OutcomeTimeout, OutcomeCancelled:
-		if q == nil || float64(e.Age) <= nearTarget*float64(q.class.Target) || r.stuck(s, r.now-e.Age) {
-			return // one that was given little time tells nothing
+		if q == nil || float64(e.Age) <= nearTargetShare*float64(q.class.Target) || r.stuck(s, r.now-e.Age) {
+			return // too short or on a dead connection: no evidence against the server
 		}
-		// Some answers are lost on the way or with a server that hangs; where most are, queues eat them.
+		// Some answers are lost in the network or at a hung server; a loss of most of them means overload.
 		g, pace := q.pool(), 1.0
-		s.failed = r.now
-		if g.missing += missWeight * (1 - g.missing); g.missing > 0.5 {
-			pace = paceCut
+		s.unansweredAt = r.now
+		if g.lossRate += lossWeight * (1 - g.lossRate); g.lossRate > 0.5 {
+			pace = paceDecrease
 		}
-		r.cut(s, q, fullCut, pace)
+		r.reduceLimit(s, q, overloadDecrease, pace)
 	case OutcomeReset:
-		s.reset, s.polled = true, !r.cfg.Probing
+		s.connReset, s.polled = true, !r.cfg.Probing
 		r.pollAt(s, r.now)
 	case OutcomeConnectFailed:
-		s.unreached, s.conns, r.reap = true, len(s.out), 0
+		s.dialFailed, s.conns, r.idleCutoff = true, len(s.pending), 0
 		s.polled = !r.cfg.Probing
 		r.pollAt(s, r.now)
 	}
 }
 
-// learn moves mean latency, limit and pace. Answers near their target say that the queue is long enough.
-func (r *Router) learn(s *server, q *request, age time.Duration) {
+// adapt updates mean latency, limit and pace by an answer. Answers near their target reduce the limit, as the
+// server's queue is then long enough; others raise it. Guards against queues whose answers all come late.
+func (r *Router) adapt(s *server, q *request, age time.Duration) {
 	s.group.latency += latencyWeight * (float64(age) - s.group.latency)
 	g := q.pool()
-	g.missing -= missWeight * g.missing
+	g.lossRate -= lossWeight * g.lossRate
 	if age > q.class.Target {
-		r.cut(s, q, limitCut, paceCut)
+		r.reduceLimit(s, q, limitDecrease, paceDecrease)
 		return
-	} else if float64(age) > nearTarget*float64(q.class.Target) {
-		r.cut(s, q, limitCut, 1)
+	} else if float64(age) > nearTargetShare*float64(q.class.Target) {
+		r.reduceLimit(s, q, limitDecrease, 1)
 		return
 	}
-	g.pace = min(1, g.pace*(1+paceGrowth))
-	if float64(len(s.out)+1) >= s.limit/2 {
-		s.limit += min(1/s.limit, limitGrowth*s.limit)
+	g.pace = min(1, g.pace*(1+paceIncrease))
+	if float64(len(s.pending)+1) >= s.limit/2 {
+		s.limit += min(1/s.limit, limitIncrease*s.limit)
 	}
 }
 
-// cut lowers a server's limit, once for each time that news of the cut takes. A limit is never below one:
-// there the pool's pace falls instead, so that many routers with few requests each send a part of them.
-func (r *Router) cut(s *server, q *request, limit, pace float64) {
-	if float64(r.now-s.cutAt) > s.group.latency {
-		s.limit, s.cutAt = max(1, min(s.limit, float64(len(s.out)+1))*limit), r.now
+// reduceLimit lowers a server's limit, at most once per mean latency, as answers show the effect of a reduction only
+// after that. A limit is at least one: from there on the pool's pace is lowered, so that many routers with few
+// requests each send only a part of them (load shedding).
+func (r *Router) reduceLimit(s *server, q *request, limit, pace float64) {
+	if float64(r.now-s.reducedAt) > s.group.latency {
+		s.limit, s.reducedAt = max(1, min(s.limit, float64(len(s.pending)+1))*limit), r.now
 	}
-	if g := q.pool(); s.limit == 1 && float64(r.now-g.cutAt) > s.group.latency {
-		g.pace, g.cutAt = max(min(1, r.ours(leastPace)), g.pace*pace), r.now
+	if g := q.pool(); s.limit == 1 && float64(r.now-g.reducedAt) > s.group.latency {
+		g.pace, g.reducedAt = max(min(1, r.routerShare(totalMinPace)), g.pace*pace), r.now
 	}
 }
 
+// pool is the pool that the request counts in, by its class and its last server.
 func (q *request) pool() *pool {
 	switch {
 	case q.class.Need <= NeedFresh:
 		return &q.group.pools[0]
-	case q.last != nil && q.last == q.group.primary:
+	case q.lastServer != nil && q.lastServer == q.group.primary:
 		return &q.group.pools[2]
 	}
 	return &q.group.pools[1]
 }
 
-func (r *Router) again(q *request) {
-	if !r.maySend(q) || q.ran && r.budget < 1 {
+// retry sends a request whose attempts have all ended again if that is allowed, else gives its final answer. An
+// attempt after one that may have run is charged to the retry budget, which guards against retry storms.
+func (r *Router) retry(q *request) {
+	if !r.maySend(q) || q.mayHaveRun && r.retryBudget < 1 {
 		r.finish(q)
 		return
 	}
-	if q.ran {
-		r.budget--
+	if q.mayHaveRun {
+		r.retryBudget--
 	}
-	r.place(q)
+	r.dispatch(q)
 }
 
-// finish gives the final answer; what is given up on is answered at once.
+// finish gives the final answer: a reject if a retry by the client is harmless, with a random delay against a
+// surge of retries, else a failure.
 func (r *Router) finish(q *request) {
 	a := Action{Kind: ActionFail, Request: q.id}
 	if q.mayReject() {
 		a.Kind = ActionReject
 	}
 	if r.cfg.RetryAfter && q.mayReject() {
-		a.After = r.cfg.MaxRetryAfter/2 + r.spread(r.cfg.MaxRetryAfter/2)/2
+		a.After = r.cfg.MaxRetryAfter/2 + r.jitter(r.cfg.MaxRetryAfter/2)/2
 	}
 	r.acts = append(r.acts, a)
 	r.close(q)
 }
 
-// close ends a request; it stays known while attempts are out, as a late answer still binds its session.
+// close ends a request. It stays known while attempts are pending: a late answer to a write still counts
+// for its session.
 func (r *Router) close(q *request) {
 	if q == nil {
 		return
 	}
-	r.stir(q.group)
-	if q.done = true; q.out == 0 {
+	r.markDirty(q.group)
+	if q.done = true; q.pending == 0 {
 		delete(r.open, q.id)
 	}
 }
 
-// sweep looks after requests that wait: for a server, for an answer, or for the end.
+// sweep goes through the waiting requests of the groups that may have changed: it ends those whose time is up,
+// dispatches held ones by value, and hedges those whose server is silent.
 func (r *Router) sweep() {
-	r.swept, r.kick = r.now, false
-	if r.now-r.pruned > forget {
-		r.pruned = r.now
+	r.lastSweep, r.sweepNeeded = r.now, false
+	if r.now-r.lastPrune > sessionRetention {
+		r.lastPrune = r.now
 		for key, commit := range r.sessions {
-			if commit < r.now-forget {
-				r.floor = max(r.floor, commit)
+			if commit < r.now-sessionRetention {
+				r.sessionFloor = max(r.sessionFloor, commit)
 				delete(r.sessions, key)
 			}
 		}
 	}
 	held, all := r.held[:0], r.all[:0]
-	groups, before := r.looks.take(r.now, r.sweeping[:0]), len(r.acts)
+	groups, before := r.looks.popDue(r.now, r.sweeping[:0]), len(r.acts)
 	for _, g := range groups {
-		g.queue, g.stirred = slices.DeleteFunc(g.queue, func(q *request) bool { return q.done }), false
+		g.queue, g.dirty = slices.DeleteFunc(g.queue, func(q *request) bool { return q.done }), false
 		all = append(all, g.queue...)
 	}
 	if len(groups) > 1 {
-		slices.SortFunc(all, func(a, b *request) int { return cmp.Compare(a.number, b.number) })
+		slices.SortFunc(all, func(a, b *request) int { return cmp.Compare(a.arrival, b.arrival) })
 	}
 	for _, q := range all {
 		switch {
 		case q.streamed:
-		case q.out == 0 && r.now >= r.lastCall(q), r.now >= q.deadline+r.cfg.AnswerSlack/2:
+		case q.pending == 0 && r.now >= r.giveUpAt(q), r.now >= q.deadline+r.cfg.AnswerSlack/2:
 			r.finish(q)
-		case q.out == 0:
+		case q.pending == 0:
 			held = append(held, q)
 		default:
-			r.rescue(q)
+			r.hedge(q)
 		}
 	}
-	slices.Reverse(held) // newest first: in a queue that cannot all be served, the oldest is soonest late
-	worth := func(q *request) float64 {
+	slices.Reverse(held) // newest first: if not all can be served, the oldest are the first to be late
+	value := func(q *request) float64 {
 		if r.now-q.arrived > q.class.Target {
 			return q.class.Worth * q.class.LateWorth
 		}
 		return q.class.Worth
 	}
-	slices.SortStableFunc(held, func(a, b *request) int { return cmp.Compare(worth(b), worth(a)) })
+	slices.SortStableFunc(held, func(a, b *request) int { return cmp.Compare(value(b), value(a)) })
 	for _, q := range held {
-		if !r.place(q) && q.class.Need <= NeedFresh && (q.group.primary == nil || !q.group.primary.polled) {
-			r.hurry(q.group, r.interval) // no backoff while work waits for a primary
+		if !r.dispatch(q) && q.class.Need <= NeedFresh && (q.group.primary == nil || !q.group.primary.polled) {
+			r.expeditePolls(q.group, r.pollInterval) // no backoff of polls while requests wait for a primary
 		}
 	}
-	clear(held) // what has ended must not be kept
+	clear(held) // ended requests must not stay reachable
 	clear(all)
 	r.held, r.all, r.sweeping = held, all, groups
 	for _, g := range groups {
-		if len(g.queue) > 0 && (g.stirred || len(r.acts) > before) {
+		if len(g.queue) > 0 && (g.dirty || len(r.acts) > before) {
 			r.looks.set(&g.look, math.MinInt64)
 		} else if len(g.queue) > 0 {
-			r.looks.set(&g.look, r.quiet(g))
+			r.looks.set(&g.look, r.nextChange(g))
 		}
 	}
 }
 
-// quiet is a time before which a sweep can change nothing for a group in which nothing else changes: the
-// least of the bounds that place, finish and rescue set, as far as time alone can turn them.
-func (r *Router) quiet(g *group) time.Duration {
+// nextChange is the earliest time at which a sweep of a group may act without a further event: the least of the
+// times at which the conditions in dispatch, finish and hedge can change by time alone.
+func (r *Router) nextChange(g *group) time.Duration {
 	until := time.Duration(math.MaxInt64)
 	if r.cfg.Behind != BehindServe || !r.cfg.Probing {
-		return math.MinInt64 // replicas become hopeful with time
+		return math.MinInt64 // replicas may catch up at any time
 	}
-	if r.scarce > r.now {
-		until = r.scarce
+	if r.connLimitedUntil > r.now {
+		until = r.connLimitedUntil
 	}
 	for _, s := range g.members {
 		if r.warmth(s) < 1 {
-			return math.MinInt64 // it gets warmer, and credit with it
+			return math.MinInt64 // warmth and credit grow with time
 		}
 	}
 	for _, q := range g.queue {
-		until = min(until, r.quietFor(q))
+		until = min(until, r.nextChangeFor(q))
 	}
 	return until
 }
 
-func (r *Router) quietFor(q *request) time.Duration {
+// nextChangeFor is nextChange for one request.
+func (r *Router) nextChangeFor(q *request) time.Duration {
 	until := q.deadline + r.cfg.AnswerSlack/2
-	s := q.last
+	s := q.lastServer
 	switch {
-	case q.done, q.full, q.streamed: // budget is earned anywhere; a streamed one only ends by events
+	case q.done, q.refusedFull, q.streamed: // requests of any group earn retry budget; a streamed request ends by an event
 		return math.MinInt64
-	case q.out == 0:
-		until = min(until, r.lastCall(q))
-	case s != nil && !q.pulled:
-		late := max(q.sent, s.answered) + r.patience(s) + 1
-		if q.sent < s.latest {
-			late = q.sent + r.patience(s) + 1
+	case q.pending == 0:
+		until = min(until, r.giveUpAt(q))
+	case s != nil && !q.withdrawn:
+		late := max(q.lastSent, s.answeredAt) + r.silenceTimeout(s) + 1
+		if q.lastSent < s.newestAnswered {
+			late = q.lastSent + r.silenceTimeout(s) + 1
 		}
 		if late > r.now || q.class.Effect == Safe || r.cfg.ParallelTries {
 			until = min(until, late)
 		}
 	}
-	if q.out > 0 || q.class.Need <= NeedFresh || q.group.primary == nil {
+	if q.pending > 0 || q.class.Need <= NeedFresh || q.group.primary == nil {
 		return until
 	}
-	if wait := q.askedAt + 10*r.cfg.Round; q.asked > 0 && wait > r.now {
+	if wait := q.expeditedAt + 10*r.cfg.Round; q.expedited > 0 && wait > r.now {
 		until = min(until, wait)
 	}
 	for _, m := range q.group.members {
-		if q.asked < proofPolls && m.polled && !m.polling {
-			until = min(until, max(m.polledAt, m.heardAt)+r.interval+1)
+		if q.expedited < expeditedPolls && m.polled && !m.polling {
+			until = min(until, max(m.polledAt, m.positionAt)+r.pollInterval+1)
 		}
 	}
 	return until
 }
 
-// lastCall is when a request that no server has is given up: one mean latency before it would earn nothing.
-func (r *Router) lastCall(q *request) time.Duration {
+// giveUpAt is when a request that no server has is given up (load shedding): one mean latency before its answer
+// would come too late to have any value, or after holdShare of its time if it was never sent.
+func (r *Router) giveUpAt(q *request) time.Duration {
 	end := q.deadline
 	if q.class.LateWorth == 0 {
 		end = min(end, q.arrived+q.class.Target)
 	}
-	need := min(time.Duration(q.group.latency), q.class.Target/2) // a slow spell must not refuse all unseen
+	need := min(time.Duration(q.group.latency), q.class.Target/2) // or a period of high latency would shed all requests without a trial
 	end = min(end-need, q.deadline-2*r.cfg.Round)
 	if q.sends == 0 {
-		end = min(end, q.arrived+time.Duration(heldShare*float64(q.deadline-q.arrived))-2*r.cfg.Round)
+		end = min(end, q.arrived+time.Duration(holdShare*float64(q.deadline-q.arrived))-2*r.cfg.Round)
 	}
 	return end
 }
 
-// rescue tries a request elsewhere whose server has gone silent; a write only where its connection was lost.
-func (r *Router) rescue(q *request) {
-	s := q.last
-	if s == nil || q.pulled || r.now-max(q.sent, s.answered) <= r.patience(s) && !r.stuck(s, q.sent) ||
-		!slices.ContainsFunc(s.out, func(f flight) bool { return f.id == q.id }) {
+// hedge sends a request again whose server is silent (hedged request), or withdraws it if parallel attempts are not
+// allowed. Guards against hung servers. Requests that are not safe are sent again only if their connection was lost.
+func (r *Router) hedge(q *request) {
+	s := q.lastServer
+	if s == nil || q.withdrawn || r.now-max(q.lastSent, s.answeredAt) <= r.silenceTimeout(s) && !r.stuck(s, q.lastSent) ||
+		!slices.ContainsFunc(s.pending, func(f pendingAttempt) bool { return f.id == q.id }) {
 		return
 	}
-	switch lost := r.lost(s, q); {
+	switch lost := r.connLost(s, q); {
 	case q.class.Effect != Safe && !lost:
 	case r.cfg.ParallelTries:
-		if q.out < 2 && r.budget >= 1 && r.place(q) {
-			r.budget--
+		if q.pending < 2 && r.retryBudget >= 1 && r.dispatch(q) {
+			r.retryBudget--
 		}
-	case r.cfg.Cancel && q.class.Effect == Safe && r.budget >= 1: // else the first may still be answered
-		q.pulled = true
+	case r.cfg.Cancel && q.class.Effect == Safe && r.retryBudget >= 1: // without budget the pending attempt may still be answered
+		q.withdrawn = true
 		r.acts = append(r.acts, Action{Kind: ActionWithdraw, Request: q.id, Attempt: q.sends - 1})
 	}
 }
 
-func (r *Router) arm(next time.Duration) {
+// setTimer requests a timer for the earlier of next and the next sweep, unless an earlier timer is pending or
+// next is an hour away or more.
+func (r *Router) setTimer(next time.Duration) {
 	if len(r.open) > 0 {
-		next = min(next, r.now+r.sweepGap)
+		next = min(next, r.now+r.sweepInterval)
 	}
 	next = max(next, r.now+r.cfg.Round)
-	if next >= r.now+time.Hour || r.armed != 0 && r.armed <= next {
+	if next >= r.now+time.Hour || r.timerAt != 0 && r.timerAt <= next {
 		return
 	}
-	r.token, r.armed = r.token+1, next
+	r.token, r.timerAt = r.token+1, next
 	r.acts = append(r.acts, Action{Kind: ActionTimer, Token: r.token, After: next - r.now})
 }
 
-// spread draws a time of between a half and one and a half of d.
-func (r *Router) spread(d time.Duration) time.Duration {
+// jitter returns a random time from half of d to one and a half of d.
+func (r *Router) jitter(d time.Duration) time.Duration {
 	return time.Duration((0.5 + r.rng.Float64()) * float64(d))
 }
 
--- a/balance/balance_test.go
+++ b/balance/balance_test.go
@@ -8,17 +8,17 @@
 
 const ms = time.Millisecond
 
-// rig feeds a router by hand and keeps what it answered.
-type rig struct {
-	t       *testing.T
-	r       *Router
-	now     time.Duration
-	last    []Action
-	final   map[RequestID]ActionKind
-	tries   map[RequestID][]ServerID
-	polled  map[ServerID]int
-	timers  []Action
-	timerAt []time.Duration
+// harness feeds events to a router and records its actions.
+type harness struct {
+	t        *testing.T
+	r        *Router
+	now      time.Duration
+	last     []Action
+	final    map[RequestID]ActionKind
+	attempts map[RequestID][]ServerID
+	polled   map[ServerID]int
+	timers   []Action
+	timerAt  []time.Duration
 }
 
 func baseConfig() Config {
@@ -47,14 +47,14 @@
 	keyed
 )
 
-func newRig(t *testing.T, cfg Config, servers int) *rig {
+func newHarness(t *testing.T, cfg Config, servers int) *harness {
 	t.Helper()
 	r, err := New(cfg, 7)
 	if err != nil {
 		t.Fatal(err)
 	}
-	g := &rig{t: t, r: r, now: 100 * time.Second, final: map[RequestID]ActionKind{},
-		tries: map[RequestID][]ServerID{}, polled: map[ServerID]int{}}
+	g := &harness{t: t, r: r, now: 100 * time.Second, final: map[RequestID]ActionKind{},
+		attempts: map[RequestID][]ServerID{}, polled: map[ServerID]int{}}
 	list := Event{Kind: EventList, List: ListCached}
 	for i := range servers {
 		list.Entries = append(list.Entries, Entry{Server: ServerID(i + 1)})
@@ -63,15 +63,15 @@
 	return g
 }
 
-func (g *rig) step(events ...Event) {
+func (g *harness) step(events ...Event) {
 	g.last = g.r.Step(g.now, events, nil)
 	for _, a := range g.last {
 		switch a.Kind {
 		case ActionTry:
 			if _, ok := g.final[a.Request]; ok {
-				g.t.Errorf("try of %d after its final answer", a.Request)
+				g.t.Errorf("attempt of %d after its final answer", a.Request)
 			}
-			g.tries[a.Request] = append(g.tries[a.Request], a.Server)
+			g.attempts[a.Request] = append(g.attempts[a.Request], a.Server)
 		case ActionReject, ActionFail:
 			if _, ok := g.final[a.Request]; ok {
 				g.t.Errorf("second final answer of %d", a.Request)
@@ -86,8 +86,8 @@
 	}
 }
 
-// run lets time pass, with the timers that the router armed.
-func (g *rig) run(d time.Duration) {
+// run advances the clock by d and delivers the router's timers.
+func (g *harness) run(d time.Duration) {
 	for end := g.now + d; g.now < end; {
 		g.now += g.r.cfg.Round
 		var due []Event
@@ -105,37 +105,37 @@
 	}
 }
 
-// report answers a poll of server s, whose data is old by age.
-func (g *rig) report(s ServerID, primary bool, age time.Duration) {
+// report answers a poll of server s, whose data has the given age.
+func (g *harness) report(s ServerID, primary bool, age time.Duration) {
 	g.step(Event{Kind: EventPoll, Server: s, Outcome: OutcomeOK, Age: ms, Report: Report{Valid: true,
 		HasPosition: true, HasRole: true, Primary: primary, Position: g.now - age - g.r.cfg.Origin}})
 }
 
-// ready names server 1 primary and proves the others fresh.
-func (g *rig) ready(servers int) {
+// ready reports server 1 as primary and fresh positions of the others.
+func (g *harness) ready(servers int) {
 	for i := range servers {
 		g.report(ServerID(i+1), i == 0, 10*ms)
 	}
 }
 
-func (g *rig) ask(id RequestID, class int) {
+func (g *harness) request(id RequestID, class int) {
 	c := g.r.cfg.Classes[class]
 	g.step(Event{Kind: EventRequest, Request: id, Class: class, Key: 1, Deadline: g.now + c.Deadline})
 }
 
-func (g *rig) end(id RequestID, attempt int, s ServerID, o Outcome, role Role) {
+func (g *harness) endAttempt(id RequestID, attempt int, s ServerID, o Outcome, role Role) {
 	g.step(Event{Kind: EventOutcome, Request: id, Attempt: attempt, Server: s, Outcome: o, Role: role,
 		Settled: o == OutcomeOK, Age: 20 * ms, Position: g.now - ms - g.r.cfg.Origin})
 }
 
-func (g *rig) wantTries(id RequestID, want ...ServerID) {
+func (g *harness) wantAttempts(id RequestID, want ...ServerID) {
 	g.t.Helper()
-	if got := fmt.Sprint(g.tries[id]); got != fmt.Sprint(want) {
+	if got := fmt.Sprint(g.attempts[id]); got != fmt.Sprint(want) {
 		g.t.Errorf("request %d went to %v, want %v", id, got, want)
 	}
 }
 
-func (g *rig) wantFinal(id RequestID, want ActionKind) {
+func (g *harness) wantFinal(id RequestID, want ActionKind) {
 	g.t.Helper()
 	if got, ok := g.final[id]; !ok || got != want {
 		g.t.Errorf("request %d: final answer %v (given %v), want %v", id, got, ok, want)
@@ -143,107 +143,107 @@
 }
 
 func TestRequestWithNoTimeLeftIsAnsweredInItsOwnBatch(t *testing.T) {
-	g := newRig(t, baseConfig(), 2)
+	g := newHarness(t, baseConfig(), 2)
 	g.step(Event{Kind: EventRequest, Request: 1, Class: bounded, Deadline: g.now})
 	g.wantFinal(1, ActionReject)
 }
 
-func TestFreshRouterHoldsUntilFirstPollsAndNotForEver(t *testing.T) {
-	g := newRig(t, baseConfig(), 3)
-	g.ask(1, write)
-	g.ask(2, bounded)
-	g.wantTries(1)
+func TestNewRouterHoldsRequestsUntilFirstPolls(t *testing.T) {
+	g := newHarness(t, baseConfig(), 3)
+	g.request(1, write)
+	g.request(2, bounded)
+	g.wantAttempts(1)
 	g.ready(3)
-	g.wantTries(1, 1)
-	if len(g.tries[2]) != 1 || g.tries[2][0] == 1 {
-		t.Errorf("bounded read went to %v, want a replica", g.tries[2])
+	g.wantAttempts(1, 1)
+	if len(g.attempts[2]) != 1 || g.attempts[2][0] == 1 {
+		t.Errorf("bounded read went to %v, want a replica", g.attempts[2])
 	}
-	h := newRig(t, baseConfig(), 3)
-	h.ask(1, bounded)
+	h := newHarness(t, baseConfig(), 3)
+	h.request(1, bounded)
 	h.run(time.Second)
 	h.wantFinal(1, ActionReject)
 }
 
 func TestStaleReplicaGetsNoBoundedRead(t *testing.T) {
-	g := newRig(t, baseConfig(), 2)
+	g := newHarness(t, baseConfig(), 2)
 	g.report(1, true, 10*ms)
 	g.report(2, false, 201*ms)
-	g.ask(1, bounded)
-	g.wantTries(1, 1)
+	g.request(1, bounded)
+	g.wantAttempts(1, 1)
 }
 
-func TestReadWithoutProofHurriesAPoll(t *testing.T) {
+func TestReadWithoutFreshReplicaExpeditesAPoll(t *testing.T) {
 	cfg := baseConfig()
 	cfg.Routers = 100
-	g := newRig(t, cfg, 3)
+	g := newHarness(t, cfg, 3)
 	g.ready(3)
 	g.run(2 * time.Second)
 	before := g.polled[2] + g.polled[3]
 	if before > 2 {
 		t.Errorf("an idle router among many sent %d polls in two seconds", before)
 	}
-	g.ask(1, bounded)
-	g.wantTries(1)
+	g.request(1, bounded)
+	g.wantAttempts(1)
 	if g.polled[2]+g.polled[3] == before {
-		t.Error("no poll was hurried for a read without proof")
+		t.Error("no poll was expedited for a read without a fresh replica")
 	}
 	g.report(3, false, 10*ms)
-	g.wantTries(1, 3)
+	g.wantAttempts(1, 3)
 }
 
 func TestWriteWaitsAfterMissForANewerPoll(t *testing.T) {
-	g := newRig(t, baseConfig(), 2)
+	g := newHarness(t, baseConfig(), 2)
 	g.ready(2)
-	g.ask(1, write)
+	g.request(1, write)
 	g.now += 50 * ms
-	g.end(1, 0, 1, OutcomeMiss, RoleReplica)
-	g.wantTries(1, 1)
+	g.endAttempt(1, 0, 1, OutcomeMiss, RoleReplica)
+	g.wantAttempts(1, 1)
 	g.now += 50 * ms
 	g.report(2, true, 10*ms)
-	g.wantTries(1, 1, 2)
+	g.wantAttempts(1, 1, 2)
 }
 
-func TestUnsafeWriteThatMayHaveRunOnlyFails(t *testing.T) {
-	g := newRig(t, baseConfig(), 2)
+func TestUnsafeWriteThatMayHaveRunIsNotRetried(t *testing.T) {
+	g := newHarness(t, baseConfig(), 2)
 	g.ready(2)
-	g.ask(1, write)
+	g.request(1, write)
 	g.now += 50 * ms
-	g.end(1, 0, 1, OutcomeReset, RoleUnknown)
-	g.wantTries(1, 1)
+	g.endAttempt(1, 0, 1, OutcomeReset, RoleUnknown)
+	g.wantAttempts(1, 1)
 	g.wantFinal(1, ActionFail)
 }
 
 func TestKeyedWriteIsResentInsideItsWindowOnly(t *testing.T) {
-	g := newRig(t, baseConfig(), 2)
+	g := newHarness(t, baseConfig(), 2)
 	g.ready(2)
-	g.ask(1, keyed)
+	g.request(1, keyed)
 	g.now += 50 * ms
-	g.end(1, 0, 1, OutcomeError, RoleReplica)
+	g.endAttempt(1, 0, 1, OutcomeError, RoleReplica)
 	g.report(2, true, 5*ms)
-	g.wantTries(1, 1, 2)
+	g.wantAttempts(1, 1, 2)
 	g.now += time.Second
-	g.end(1, 1, 2, OutcomeError, RolePrimary)
-	g.wantTries(1, 1, 2)
+	g.endAttempt(1, 1, 2, OutcomeError, RolePrimary)
+	g.wantAttempts(1, 1, 2)
 	g.wantFinal(1, ActionFail)
 }
 
-func TestBrokenConnectionsAreNoRestart(t *testing.T) {
-	g := newRig(t, baseConfig(), 2)
+func TestBrokenConnectionIsNotTakenForARestart(t *testing.T) {
+	g := newHarness(t, baseConfig(), 2)
 	g.ready(2)
-	g.ask(1, anyRead)
-	g.wantTries(1, 2)
-	g.end(1, 0, 2, OutcomeReset, RoleUnknown)
+	g.request(1, anyRead)
+	g.wantAttempts(1, 2)
+	g.endAttempt(1, 0, 2, OutcomeReset, RoleUnknown)
 	g.report(2, false, 10*ms)
 	if w := g.r.warmth(g.r.servers[2]); w != 1 {
 		t.Errorf("a broken connection made a warm server cold: %v", w)
 	}
 }
 
-// TestFailedPollsOfAMomentAreNoRestart has a way break connections: a server that answered a second ago did not start anew,
-// one that was away for longer may have.
-func TestFailedPollsOfAMomentAreNoRestart(t *testing.T) {
+// TestBriefPollFailuresAreNotTakenForARestart: a network fault that breaks connections for less than a second must not make a warm
+// server cold; after a longer absence the server may have restarted.
+func TestBriefPollFailuresAreNotTakenForARestart(t *testing.T) {
 	for away, want := range map[time.Duration]bool{500 * ms: true, 5 * time.Second: false} {
-		g := newRig(t, baseConfig(), 2)
+		g := newHarness(t, baseConfig(), 2)
 		g.ready(2)
 		for range failureLimit {
 			g.now += away / failureLimit
@@ -256,8 +256,8 @@
 	}
 }
 
-func TestWhatNeverWentOutIsHeldForHalfOfItsTime(t *testing.T) {
-	g := newRig(t, baseConfig(), 1)
+func TestUnsentRequestIsHeldForHalfOfItsTime(t *testing.T) {
+	g := newHarness(t, baseConfig(), 1)
 	g.step(Event{Kind: EventRequest, Request: 1, Class: write, Key: 9, Deadline: g.now + 2*time.Second})
 	g.run(900 * ms)
 	if _, ended := g.final[1]; ended {
@@ -269,157 +269,158 @@
 	}
 }
 
-// TestAnOvertakenWriteHoldsNothingUp has one connection go silent at a server that answers others: the rest must go on.
-func TestAnOvertakenWriteHoldsNothingUp(t *testing.T) {
-	g := newRig(t, baseConfig(), 1)
+// TestStuckWriteDoesNotBlockOthers: one connection dies while its server answers requests on others, which must neither wait
+// for the lost request nor count it against the server.
+func TestStuckWriteDoesNotBlockOthers(t *testing.T) {
+	g := newHarness(t, baseConfig(), 1)
 	g.ready(1)
-	g.ask(1, write)
-	g.wantTries(1, 1)
+	g.request(1, write)
+	g.wantAttempts(1, 1)
 	g.now += 5 * ms
 	for id := RequestID(2); id < 30; id++ {
-		g.ask(id, write)
-		g.wantTries(id, 1)
+		g.request(id, write)
+		g.wantAttempts(id, 1)
 		g.now += 20 * ms
-		g.end(id, 0, 1, OutcomeOK, RolePrimary)
+		g.endAttempt(id, 0, 1, OutcomeOK, RolePrimary)
 		g.now += 40 * ms
 		g.report(1, true, ms)
 	}
-	g.run(2 * time.Second) // for longer than its patience, nothing but the stuck one is out
+	g.run(2 * time.Second) // longer than the silence time-out, with only the stuck request pending
 	g.report(1, true, ms)
 	s := g.r.servers[1]
-	if !g.r.stuck(s, s.out[0].sent) || g.r.silent(s) {
-		t.Errorf("stuck %v, silent %v", g.r.stuck(s, s.out[0].sent), g.r.silent(s))
+	if !g.r.stuck(s, s.pending[0].sent) || g.r.silent(s) {
+		t.Errorf("stuck %v, silent %v", g.r.stuck(s, s.pending[0].sent), g.r.silent(s))
 	}
 	limit := s.limit
-	g.ask(40, write)
-	g.wantTries(40, 1)
+	g.request(40, write)
+	g.wantAttempts(40, 1)
 	g.step(Event{Kind: EventOutcome, Request: 1, Server: 1, Outcome: OutcomeTimeout, Age: 3 * time.Second})
-	if s.limit != limit || s.failed != 0 {
-		t.Errorf("a lost connection speaks against its server: limit %v of %v, failed %v", s.limit, limit, s.failed)
+	if s.limit != limit || s.unansweredAt != 0 {
+		t.Errorf("a lost connection was counted against its server: limit %v of %v, failed %v", s.limit, limit, s.unansweredAt)
 	}
 }
 
-// TestOvertakenWritesTakeNoRoom has as many of them at a server as it may hold.
-func TestOvertakenWritesTakeNoRoom(t *testing.T) {
-	g := newRig(t, baseConfig(), 1)
+// TestStuckWritesUseNoCapacity: as many stuck writes as the limit allows must not keep further writes from a server.
+func TestStuckWritesUseNoCapacity(t *testing.T) {
+	g := newHarness(t, baseConfig(), 1)
 	g.ready(1)
 	s := g.r.servers[1]
 	s.limit = 3
-	g.ask(1, write)
-	g.ask(2, write)
+	g.request(1, write)
+	g.request(2, write)
 	g.now += 5 * ms
-	g.ask(3, write)
+	g.request(3, write)
 	g.now += 20 * ms
-	g.end(3, 0, 1, OutcomeOK, RolePrimary)
-	s.limit = 1 // room for two writes
-	g.ask(4, write)
-	g.wantTries(4)
+	g.endAttempt(3, 0, 1, OutcomeOK, RolePrimary)
+	s.limit = 1 // capacity for two writes
+	g.request(4, write)
+	g.wantAttempts(4)
 	g.run(time.Second)
 	g.report(1, true, ms)
-	g.wantTries(4, 1)
+	g.wantAttempts(4, 1)
 }
 
-func TestSessionSeesAWriteWhoseClientLeft(t *testing.T) {
+func TestSessionReadsWriteOfAbortedRequest(t *testing.T) {
 	cfg := baseConfig()
 	cfg.RouterTokens = true
-	g := newRig(t, cfg, 2)
+	g := newHarness(t, cfg, 2)
 	g.ready(2)
-	g.ask(1, write)
+	g.request(1, write)
 	g.step(Event{Kind: EventAborted, Request: 1})
 	g.now += 100 * ms
-	g.end(1, 0, 1, OutcomeOK, RolePrimary)
+	g.endAttempt(1, 0, 1, OutcomeOK, RolePrimary)
 	g.now += 50 * ms
 	g.report(2, false, 60*ms)
-	g.ask(2, session)
-	g.run(60 * ms) // a poll is hurried first
-	g.wantTries(2, 1)
+	g.request(2, session)
+	g.run(60 * ms) // a poll is expedited first
+	g.wantAttempts(2, 1)
 	g.report(2, false, 60*ms+40*ms)
-	g.ask(3, session)
-	g.wantTries(3, 2)
+	g.request(3, session)
+	g.wantAttempts(3, 2)
 }
 
-// TestSessionSeesAWriteThatMayHaveRun reads what a session wrote while its write is out, and after it was lost without an
-// answer: it may have run, so no replica will do that is not proven to be past it.
-func TestSessionSeesAWriteThatMayHaveRun(t *testing.T) {
-	for name, lose := range map[string]func(g *rig){
-		"out":   func(*rig) {},
-		"reset": func(g *rig) { g.end(1, 0, 1, OutcomeReset, RoleUnknown); g.report(1, true, 10*ms) },
-		"not in time, its client gone": func(g *rig) {
+// TestSessionReadsWriteThatMayHaveRun: a session's write is pending, or its answer is lost. It may have run, so a session read
+// must not be served by a replica that is not known to have reached the write.
+func TestSessionReadsWriteThatMayHaveRun(t *testing.T) {
+	for name, lose := range map[string]func(g *harness){
+		"pending": func(*harness) {},
+		"reset":   func(g *harness) { g.endAttempt(1, 0, 1, OutcomeReset, RoleUnknown); g.report(1, true, 10*ms) },
+		"timed out after its client left": func(g *harness) {
 			g.step(Event{Kind: EventAborted, Request: 1})
-			g.end(1, 0, 1, OutcomeTimeout, RoleUnknown)
+			g.endAttempt(1, 0, 1, OutcomeTimeout, RoleUnknown)
 		},
 	} {
 		cfg := baseConfig()
 		cfg.RouterTokens = true
-		g := newRig(t, cfg, 2)
+		g := newHarness(t, cfg, 2)
 		g.ready(2)
-		g.ask(1, write)
+		g.request(1, write)
 		g.now += 100 * ms
 		g.report(2, false, 10*ms)
 		g.now += 50 * ms
 		lose(g)
 		lost := g.now
-		g.ask(2, session)
+		g.request(2, session)
 		g.run(30 * ms)
-		if got := g.tries[2]; len(got) > 0 && got[0] == 2 {
-			t.Errorf("%s: the read went to a replica that is not proven to have the write", name)
+		if got := g.attempts[2]; len(got) > 0 && got[0] == 2 {
+			t.Errorf("%s: the read was sent to a replica that is not known to have the write", name)
 		}
 		g.run(50 * ms)
 		g.report(2, false, g.now-lost-ms)
-		g.ask(3, session)
-		if name != "out" {
-			g.wantTries(3, 2)
+		g.request(3, session)
+		if name != "pending" {
+			g.wantAttempts(3, 2)
 		}
-		if name == "not in time, its client gone" && len(g.r.writes) != 0 {
-			t.Errorf("%d writes count as out", len(g.r.writes))
+		if name == "timed out after its client left" && len(g.r.writes) != 0 {
+			t.Errorf("%d writes count as pending", len(g.r.writes))
 		}
 	}
 }
 
-// TestSessionMustNotSeeAWriteThatNeverRan: a refusal binds no read.
-func TestSessionMustNotSeeAWriteThatNeverRan(t *testing.T) {
+// TestRefusedWriteDoesNotBindSessionReads: a refused write did not run, so replicas still serve the session's reads.
+func TestRefusedWriteDoesNotBindSessionReads(t *testing.T) {
 	cfg := baseConfig()
 	cfg.RouterTokens = true
-	g := newRig(t, cfg, 2)
+	g := newHarness(t, cfg, 2)
 	g.ready(2)
-	g.ask(1, write)
-	g.end(1, 0, 1, OutcomeFull, RoleUnknown)
-	g.ask(2, session)
-	g.wantTries(2, 2)
+	g.request(1, write)
+	g.endAttempt(1, 0, 1, OutcomeFull, RoleUnknown)
+	g.request(2, session)
+	g.wantAttempts(2, 2)
 }
 
-func TestAnswerAsReplicaEndsTheRole(t *testing.T) {
-	g := newRig(t, baseConfig(), 2)
+func TestAnswerAsReplicaEndsThePrimaryRole(t *testing.T) {
+	g := newHarness(t, baseConfig(), 2)
 	g.ready(2)
-	g.ask(1, fresh)
+	g.request(1, fresh)
 	g.now += 30 * ms
-	g.end(1, 0, 1, OutcomeOK, RoleReplica)
-	g.ask(2, fresh)
-	g.wantTries(2)
+	g.endAttempt(1, 0, 1, OutcomeOK, RoleReplica)
+	g.request(2, fresh)
+	g.wantAttempts(2)
 }
 
-// TestADeposedPrimaryDeniesAtThePositionItClaimed: where it stops applying it stands at its last claim for good, so a report
-// of the same position is no older than the claim.
-func TestADeposedPrimaryDeniesAtThePositionItClaimed(t *testing.T) {
-	g := newRig(t, baseConfig(), 3)
+// TestPrimaryIsDeposedByDenialAtItsClaimedPosition: a deposed primary that stops applying keeps the position of its last claim, so
+// a denial with that position is not older than the claim and must end the role.
+func TestPrimaryIsDeposedByDenialAtItsClaimedPosition(t *testing.T) {
+	g := newHarness(t, baseConfig(), 3)
 	g.ready(3)
 	claimed := g.now
-	g.run(time.Second) // so that no replica is proven to be within the bound
+	g.run(time.Second) // so that no replica is known to be within the bound
 	g.report(1, false, g.now-claimed+10*ms)
-	g.ask(1, bounded)
+	g.request(1, bounded)
 	g.run(50 * ms)
-	g.wantTries(1)
+	g.wantAttempts(1)
 	for _, v := range g.r.Views(nil) {
 		if v.Primary {
-			t.Errorf("server %d is still taken for the primary", v.Server)
+			t.Errorf("server %d still counts as the primary", v.Server)
 		}
 	}
 }
 
-func TestLongLoneRequestIsNotTakenForSilence(t *testing.T) {
-	g := newRig(t, baseConfig(), 3)
+func TestSingleLongRequestIsNotTakenForSilence(t *testing.T) {
+	g := newHarness(t, baseConfig(), 3)
 	g.ready(3)
-	g.ask(1, anyRead)
+	g.request(1, anyRead)
 	withdrawn := func() bool {
 		for _, a := range g.last {
 			if a.Kind == ActionWithdraw {
@@ -428,10 +429,10 @@
 		}
 		return false
 	}
-	for range 36 { // 180 ms: three and a half first mean latencies of 50 ms
+	for range 36 { // 180 ms: 3.6 initial mean latencies of 50 ms
 		g.run(5 * ms)
 		if withdrawn() {
-			t.Fatal("one long request was started anew elsewhere")
+			t.Fatal("a single long request was withdrawn")
 		}
 	}
 	for range 150 {
@@ -446,31 +447,32 @@
 func TestKeyedResendStaysInItsZone(t *testing.T) {
 	cfg := baseConfig()
 	cfg.Classes[keyed].Scope = ScopeZone
-	g := newRig(t, cfg, 2)
+	g := newHarness(t, cfg, 2)
 	g.step(Event{Kind: EventList, Entries: []Entry{{Server: 2, Zone: 1}}})
 	g.ready(2)
-	g.ask(1, keyed)
+	g.request(1, keyed)
 	g.now += 50 * ms
-	g.end(1, 0, 1, OutcomeError, RoleReplica)
+	g.endAttempt(1, 0, 1, OutcomeError, RoleReplica)
 	g.report(2, true, 5*ms)
 	g.run(100 * ms)
-	g.wantTries(1, 1)
+	g.wantAttempts(1, 1)
 }
 
 func TestWithoutPollsAWriteFindsThePrimaryByMisses(t *testing.T) {
 	cfg := baseConfig()
 	cfg.Probing = false
-	g := newRig(t, cfg, 2)
-	g.ask(1, write)
-	if len(g.tries[1]) != 1 {
-		t.Fatalf("write went to %v", g.tries[1])
+	g := newHarness(t, cfg, 2)
+	g.request(1, write)
+	if len(g.attempts[1]) != 1 {
+		t.Fatalf("write went to %v", g.attempts[1])
 	}
-	guess := g.tries[1][0]
-	g.end(1, 0, guess, OutcomeMiss, RoleReplica)
-	g.wantTries(1, guess, 3-guess)
+	guess := g.attempts[1][0]
+	g.endAttempt(1, 0, guess, OutcomeMiss, RoleReplica)
+	g.wantAttempts(1, guess, 3-guess)
 }
 
-// Many unequal routers with a trickle each must together keep to the bound of a cold server, and not starve it.
+// TestColdServerGetsItsPartFromManyUnequalRouters: many routers with few and unequal numbers of requests must together neither
+// overload a cold server nor starve it.
 func TestColdServerGetsItsPartFromManyUnequalRouters(t *testing.T) {
 	cfg := baseConfig()
 	cfg.Routers = 200
@@ -480,15 +482,15 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		g := &rig{t: t, r: r, now: 100 * time.Second, final: map[RequestID]ActionKind{},
-			tries: map[RequestID][]ServerID{}, polled: map[ServerID]int{}}
+		g := &harness{t: t, r: r, now: 100 * time.Second, final: map[RequestID]ActionKind{},
+			attempts: map[RequestID][]ServerID{}, polled: map[ServerID]int{}}
 		g.step(Event{Kind: EventList, List: ListCached, Entries: []Entry{{Server: 1}, {Server: 2}, {Server: 3},
 			{Server: 4}, {Server: 5, Started: 99 * time.Second}}})
 		g.ready(5)
 		for id := range RequestID(1 + 6*(i%2)) { // one read in a second, or seven
-			g.ask(id, anyRead)
-			for n, s := range g.tries[id] {
-				g.end(id, n, s, OutcomeOK, RoleReplica)
+			g.request(id, anyRead)
+			for n, s := range g.attempts[id] {
+				g.endAttempt(id, n, s, OutcomeOK, RoleReplica)
 				if s == 5 {
 					cold++
 				} else {
@@ -504,21 +506,21 @@
 	}
 }
 
-// trickle makes one of many routers, three servers ready, and serves it one read so that connections are open.
-func trickle(t *testing.T, parallel bool) *rig {
+// newLowTrafficHarness returns one of 40 routers with three ready servers, after two reads that opened connections.
+func newLowTrafficHarness(t *testing.T, parallel bool) *harness {
 	cfg := baseConfig()
 	cfg.Routers, cfg.ParallelTries = 40, parallel
-	g := newRig(t, cfg, 3)
+	g := newHarness(t, cfg, 3)
 	g.ready(3)
 	for id := RequestID(900); id < 902; id++ {
-		g.ask(id, anyRead)
+		g.request(id, anyRead)
 		g.now += 10 * ms
-		g.end(id, 0, g.tries[id][0], OutcomeOK, RoleReplica)
+		g.endAttempt(id, 0, g.attempts[id][0], OutcomeOK, RoleReplica)
 	}
 	return g
 }
 
-func (g *rig) count(kind ActionKind) (n int) {
+func (g *harness) count(kind ActionKind) (n int) {
 	for _, a := range g.last {
 		if a.Kind == kind {
 			n++
@@ -527,77 +529,77 @@
 	return n
 }
 
-func TestConnectionsDroppedUnseenAreClosedBeforeTheNextSend(t *testing.T) {
-	g := trickle(t, true)
+func TestStaleConnectionsAreClosedBeforeTheNextSend(t *testing.T) {
+	g := newLowTrafficHarness(t, true)
 	g.now += 3 * time.Second
-	g.ask(1, anyRead)
+	g.request(1, anyRead)
 	if g.count(ActionDisconnect) != 0 {
 		t.Error("an idle connection was closed though nothing was lost on one")
 	}
-	g.run(time.Second) // no answer: a copy goes to the other replica
-	if len(g.tries[1]) != 2 {
-		t.Fatalf("lost read went to %v, want a copy elsewhere", g.tries[1])
+	g.run(time.Second) // no answer: the read is hedged at the other replica
+	if len(g.attempts[1]) != 2 {
+		t.Fatalf("lost read was sent to %v, want a hedged request to another server", g.attempts[1])
 	}
-	g.end(1, 1, g.tries[1][1], OutcomeOK, RoleReplica)
+	g.endAttempt(1, 1, g.attempts[1][1], OutcomeOK, RoleReplica)
 	g.now += 4 * time.Second
-	g.ask(2, anyRead)
+	g.request(2, anyRead)
 	if g.count(ActionDisconnect) != 1 {
 		t.Error("a connection idle for longer than one that lost a read was used again")
 	}
 }
 
-// TestSilenceOnCheckedConnectionsClosesNone has a server keep a read without an answer on a connection that had been idle: where
-// connections are checked before each use, as on the platform, that is the server's queue, and the other connections stay.
+// TestSilenceOnCheckedConnectionsClosesNone: a server leaves a read unanswered on a connection that was idle. With connections
+// checked before each use, as on the platform, the read is queued at the server, and idle connections must stay open.
 func TestSilenceOnCheckedConnectionsClosesNone(t *testing.T) {
-	g := trickle(t, true)
+	g := newLowTrafficHarness(t, true)
 	g.r.ConnsAreChecked()
 	g.now += 3 * time.Second
-	g.ask(1, anyRead)
+	g.request(1, anyRead)
 	g.run(time.Second)
-	if len(g.tries[1]) != 2 {
-		t.Fatalf("read went to %v, want a copy elsewhere as the server keeps silent", g.tries[1])
+	if len(g.attempts[1]) != 2 {
+		t.Fatalf("read was sent to %v, want a hedged request as the server is silent", g.attempts[1])
 	}
-	g.end(1, 1, g.tries[1][1], OutcomeOK, RoleReplica)
+	g.endAttempt(1, 1, g.attempts[1][1], OutcomeOK, RoleReplica)
 	g.now += 4 * time.Second
-	g.ask(2, anyRead)
+	g.request(2, anyRead)
 	if n := g.count(ActionDisconnect); n != 0 {
-		t.Errorf("%d servers' idle connections were closed as if one had been dropped unseen", n)
+		t.Errorf("idle connections to %d servers were closed as if they were stale", n)
 	}
 }
 
 func TestKeyedWriteLostWithItsConnectionIsSentAgain(t *testing.T) {
-	g := trickle(t, true)
-	g.ask(1, keyed)
-	g.end(1, 0, 1, OutcomeOK, RolePrimary)
+	g := newLowTrafficHarness(t, true)
+	g.request(1, keyed)
+	g.endAttempt(1, 0, 1, OutcomeOK, RolePrimary)
 	g.now += 3 * time.Second
 	g.report(1, true, 5*ms)
-	g.ask(2, keyed)
+	g.request(2, keyed)
 	g.run(800 * ms)
-	g.wantTries(2, 1, 1)
+	g.wantAttempts(2, 1, 1)
 }
 
-func TestRefusedConnectionsKeepARouterOnItsOpenOnes(t *testing.T) {
-	g := trickle(t, true)
-	last := g.tries[901][0] // in turn the other replica would be next
-	g.ask(1, write)
-	g.end(1, 0, 1, OutcomeConnectFailed, RoleUnknown)
-	g.report(1, true, 5*ms) // it runs: connections are scarce
+func TestRouterKeepsToOpenConnectionsWhileNewOnesAreRefused(t *testing.T) {
+	g := newLowTrafficHarness(t, true)
+	last := g.attempts[901][0] // round robin would pick the other replica
+	g.request(1, write)
+	g.endAttempt(1, 0, 1, OutcomeConnectFailed, RoleUnknown)
+	g.report(1, true, 5*ms) // it answers polls, so it refuses connections
 	for id := RequestID(2); id < 6; id++ {
-		g.ask(id, anyRead)
-		g.wantTries(id, last)
-		g.end(id, 0, last, OutcomeOK, RoleReplica)
+		g.request(id, anyRead)
+		g.wantAttempts(id, last)
+		g.endAttempt(id, 0, last, OutcomeOK, RoleReplica)
 	}
 }
 
-func TestLateAnswersLetASmallRouterSendAPart(t *testing.T) {
-	g := trickle(t, false)
+func TestLateAnswersThrottleARouterWithFewRequests(t *testing.T) {
+	g := newLowTrafficHarness(t, false)
 	sent := 0
 	for id := RequestID(1); id <= 60; id++ {
-		g.ask(id, anyRead)
-		if n := len(g.tries[id]); n > 0 {
+		g.request(id, anyRead)
+		if n := len(g.attempts[id]); n > 0 {
 			sent++
 			g.now += 450 * ms
-			g.step(Event{Kind: EventOutcome, Request: id, Server: g.tries[id][0], Outcome: OutcomeOK, Role: RoleReplica,
+			g.step(Event{Kind: EventOutcome, Request: id, Server: g.attempts[id][0], Outcome: OutcomeOK, Role: RoleReplica,
 				Settled: true, Age: 450 * ms, Position: g.now - ms - g.r.cfg.Origin})
 		} else {
 			g.run(450 * ms)
@@ -609,11 +611,11 @@
 	}
 }
 
-func TestLostAnswersAloneDoNotSlowASmallRouter(t *testing.T) {
-	g := trickle(t, false)
+func TestLostAnswersDoNotThrottleARouterWithFewRequests(t *testing.T) {
+	g := newLowTrafficHarness(t, false)
 	for id := RequestID(1); id <= 30; id++ {
-		g.ask(id, anyRead)
-		if len(g.tries[id]) == 0 {
+		g.request(id, anyRead)
+		if len(g.attempts[id]) == 0 {
 			t.Fatalf("read %d was held: lost answers were taken for load", id)
 		}
 		o := OutcomeOK
@@ -621,13 +623,13 @@
 			o = OutcomeTimeout
 		}
 		g.now += 30 * ms
-		g.step(Event{Kind: EventOutcome, Request: id, Server: g.tries[id][0], Outcome: o, Role: RoleReplica,
+		g.step(Event{Kind: EventOutcome, Request: id, Server: g.attempts[id][0], Outcome: o, Role: RoleReplica,
 			Settled: true, Age: 300 * ms, Position: g.now - ms - g.r.cfg.Origin})
 		g.now += 2 * time.Second
 	}
 }
 
-func TestReadsOfLaggingReplicasLeaveThePrimaryToWrites(t *testing.T) {
+func TestFewReadsFallBackWhileReplicasLag(t *testing.T) {
 	cfg := baseConfig()
 	cfg.Routers = 100
 	toPrimary := 0
@@ -636,8 +638,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		g := &rig{t: t, r: r, now: 100 * time.Second, final: map[RequestID]ActionKind{},
-			tries: map[RequestID][]ServerID{}, polled: map[ServerID]int{}}
+		g := &harness{t: t, r: r, now: 100 * time.Second, final: map[RequestID]ActionKind{},
+			attempts: map[RequestID][]ServerID{}, polled: map[ServerID]int{}}
 		list := Event{Kind: EventList, List: ListCached}
 		for i := range 5 {
 			list.Entries = append(list.Entries, Entry{Server: ServerID(i + 1)})
@@ -647,9 +649,9 @@
 		for s := ServerID(2); s <= 5; s++ {
 			g.report(s, false, 5*time.Second)
 		}
-		g.ask(1, bounded)
+		g.request(1, bounded)
 		g.run(100 * ms)
-		toPrimary += len(g.tries[1])
+		toPrimary += len(g.attempts[1])
 	}
 	if toPrimary > 50 || toPrimary == 0 {
 		t.Errorf("%d of 100 routers sent their first unproven read to the primary, want about one member's share", toPrimary)
@@ -658,56 +660,56 @@
 
 func TestWithdrawsOnlyWithBudgetForAnotherAttempt(t *testing.T) {
 	cfg := baseConfig()
-	cfg.Routers = 400 // the first budget is shared: less than one is left for each
-	g := newRig(t, cfg, 3)
+	cfg.Routers = 400 // each router's initial part of the retry budget is below one
+	g := newHarness(t, cfg, 3)
 	g.ready(3)
-	g.ask(1, anyRead)
+	g.request(1, anyRead)
 	for range 120 {
 		g.run(5 * ms)
 		if g.count(ActionWithdraw) > 0 {
-			t.Fatal("a read was withdrawn though no further attempt could be paid")
+			t.Fatal("a read was withdrawn though the retry budget allows no further attempt")
 		}
 	}
 }
 
-func TestDrainOnceToldBindsThoughAnOldListSaysReady(t *testing.T) {
-	g := newRig(t, baseConfig(), 2)
+func TestDrainOutlivesAnOutdatedList(t *testing.T) {
+	g := newHarness(t, baseConfig(), 2)
 	g.ready(2)
 	list := func(kind ListKind, e ...Entry) { g.step(Event{Kind: EventList, List: kind, Entries: e}) }
 	list(ListDelta, Entry{Server: 2, Life: LifeDraining})
 	list(ListFull, Entry{Server: 1}, Entry{Server: 2})
-	g.ask(1, anyRead)
-	g.wantTries(1, 1)
+	g.request(1, anyRead)
+	g.wantAttempts(1, 1)
 	list(ListDelta, Entry{Server: 2, Life: LifeGone})
 	list(ListFull, Entry{Server: 1}, Entry{Server: 2})
 	g.report(2, false, 5*ms)
-	g.ask(2, anyRead)
-	g.wantTries(2, 1)
+	g.request(2, anyRead)
+	g.wantAttempts(2, 1)
 	list(ListDelta, Entry{Server: 2, Started: g.now})
 	g.run(g.r.cfg.RampTime + time.Second)
 	g.ready(2)
-	g.ask(3, anyRead)
-	g.wantTries(3, 2)
+	g.request(3, anyRead)
+	g.wantAttempts(3, 2)
 }
 
-func TestServersLeftOutStayInUseWhereOnlyDrainingBinds(t *testing.T) {
+func TestSoftRemovalKeepsServersMissingFromTheList(t *testing.T) {
 	cfg := baseConfig()
 	cfg.SoftRemoval = true
-	g := newRig(t, cfg, 2)
+	g := newHarness(t, cfg, 2)
 	g.ready(2)
-	g.step(Event{Kind: EventList, List: ListFull}) // an empty list proves nothing
-	g.ask(1, anyRead)
-	g.wantTries(1, 2)
+	g.step(Event{Kind: EventList, List: ListFull}) // an empty list removes no server
+	g.request(1, anyRead)
+	g.wantAttempts(1, 2)
 	g.step(Event{Kind: EventList, Entries: []Entry{{Server: 2, Life: LifeDraining}}})
 	g.now += time.Second
-	g.ask(2, anyRead)
-	g.wantTries(2, 1)
+	g.request(2, anyRead)
+	g.wantAttempts(2, 1)
 }
 
-func TestListCallThatFailsIsMadeAgain(t *testing.T) {
+func TestFailedListRequestIsRepeated(t *testing.T) {
 	cfg := baseConfig()
 	cfg.AskList, cfg.AskWithin = true, 10*time.Second
-	g := newRig(t, cfg, 2)
+	g := newHarness(t, cfg, 2)
 	if g.count(ActionSubscribe) != 1 {
 		t.Fatal("no list was asked for at the start")
 	}
@@ -728,12 +730,12 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		g := &rig{t: t, r: r, now: 100 * time.Second, final: map[RequestID]ActionKind{},
-			tries: map[RequestID][]ServerID{}, polled: map[ServerID]int{}}
+		g := &harness{t: t, r: r, now: 100 * time.Second, final: map[RequestID]ActionKind{},
+			attempts: map[RequestID][]ServerID{}, polled: map[ServerID]int{}}
 		g.step(Event{Kind: EventList, List: ListCached, Entries: []Entry{{Server: 1}, {Server: 2}, {Server: 3}, {Server: 4}}})
 		g.ready(4)
-		g.ask(1, anyRead)
-		first[g.tries[1][0]]++
+		g.request(1, anyRead)
+		first[g.attempts[1][0]]++
 	}
 	for s := ServerID(2); s <= 4; s++ {
 		if first[s] < 8 || first[s] > 35 {
@@ -742,26 +744,26 @@
 	}
 }
 
-// TestReadsOneAtATimeOpenFewConnections has a router of many servers with one read at a time, which must not take each to another
-// server, as every new connection costs that one work; and then with many at once, which must leave none out.
-func TestReadsOneAtATimeOpenFewConnections(t *testing.T) {
+// TestSequentialReadsOpenFewConnections: with many servers, reads one at a time must reuse connections, as each new one costs a
+// server work; concurrent reads must use every server.
+func TestSequentialReadsOpenFewConnections(t *testing.T) {
 	const servers = 40
 	cfg := baseConfig()
 	cfg.Routers = 40
-	g := newRig(t, cfg, servers)
+	g := newHarness(t, cfg, servers)
 	g.ready(servers)
 	used := map[ServerID]bool{}
 	read := func(id RequestID) {
-		g.ask(id, anyRead)
-		if len(g.tries[id]) != 1 {
-			t.Fatalf("read %d went to %v", id, g.tries[id])
+		g.request(id, anyRead)
+		if len(g.attempts[id]) != 1 {
+			t.Fatalf("read %d went to %v", id, g.attempts[id])
 		}
-		used[g.tries[id][0]] = true
+		used[g.attempts[id][0]] = true
 	}
 	for id := RequestID(1); id <= 60; id++ {
 		read(id)
 		g.now += ms
-		g.end(id, 0, g.tries[id][0], OutcomeOK, RoleReplica)
+		g.endAttempt(id, 0, g.attempts[id][0], OutcomeOK, RoleReplica)
 	}
 	if len(used) > 4 {
 		t.Errorf("%d servers used by 60 reads, one at a time", len(used))
@@ -774,21 +776,21 @@
 	}
 }
 
-func TestServerThatLeftARequestUnansweredIsPassedOver(t *testing.T) {
-	g := trickle(t, false)
-	g.ask(1, anyRead)
-	hung := g.tries[1][0]
+func TestServerIsPassedOverAfterATimeout(t *testing.T) {
+	g := newLowTrafficHarness(t, false)
+	g.request(1, anyRead)
+	hung := g.attempts[1][0]
 	g.now += 400 * ms
 	g.step(Event{Kind: EventOutcome, Request: 1, Server: hung, Outcome: OutcomeTimeout, Settled: true, Age: 400 * ms})
 	for id := RequestID(2); id < 7; id++ {
-		g.ask(id, anyRead)
-		if len(g.tries[id]) != 1 || g.tries[id][0] == hung {
-			t.Errorf("read %d went to %v, not past the server that does not answer", id, g.tries[id])
+		g.request(id, anyRead)
+		if len(g.attempts[id]) != 1 || g.attempts[id][0] == hung {
+			t.Errorf("read %d was sent to %v, want another server than the one that timed out", id, g.attempts[id])
 		}
 		g.now += 100 * ms
-		g.end(id, 0, g.tries[id][0], OutcomeOK, RoleReplica)
+		g.endAttempt(id, 0, g.attempts[id][0], OutcomeOK, RoleReplica)
 	}
 	g.now += 6 * time.Second
-	g.ask(8, anyRead)
-	g.wantTries(8, hung)
+	g.request(8, anyRead)
+	g.wantAttempts(8, hung)
 }
--- a/balance/bench_test.go
+++ b/balance/bench_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// BenchmarkStep shows what an event costs with small and large fleets and with few and many held requests: the
-// time of an event must not grow with the product of the two.
+// BenchmarkStep measures the cost of an event for few and many servers and for few and many held requests. The cost
+// must not grow with the product of the two.
 func BenchmarkStep(b *testing.B) {
 	for _, groups := range []int{1, 20} {
 		for _, held := range []int{0, 200} {
--- a/balance/example_test.go
+++ b/balance/example_test.go
@@ -7,7 +7,7 @@
 	"umberladder/balance"
 )
 
-// A driver gathers events, steps the router with its own clock, and carries the actions out in order.
+// A driver collects events, calls Step with its own clock, and carries out the actions in order.
 func Example() {
 	cfg := balance.Config{
 		Classes: []balance.Class{{Name: "write", Effect: balance.Unsafe, Need: balance.NeedWrite,
@@ -19,7 +19,7 @@
 		fmt.Println(err)
 		return
 	}
-	const clock = time.Hour // any zero will do
+	const clock = time.Hour // the clock's zero is arbitrary
 	var actions []balance.Action
 	step := func(now time.Duration, events ...balance.Event) {
 		actions = router.Step(now, events, actions[:0])
--- a/balance/index.go
+++ b/balance/index.go
@@ -2,27 +2,28 @@
 
 import "time"
 
-// due is an index of things by time: a heap in which each knows its place. It decides nothing.
-type due[T any] struct{ heap []*slot[T] }
+// timeIndex is a binary min-heap of items by time. Each item's slot knows its place in the heap, so that
+// items can be moved and removed.
+type timeIndex[T any] struct{ heap []*timeSlot[T] }
 
-// slot is a thing's place in an index; its zero value is in none.
-type slot[T any] struct {
-	of    T
+// timeSlot is an item's handle in an index. The zero value is in no index.
+type timeSlot[T any] struct {
+	item  T
 	at    time.Duration
-	place int // in the heap, counted from 1
+	place int // in the heap, counted from 1; 0 if not in it
 }
 
-// set puts a thing into the index at a time, or moves it there.
-func (d *due[T]) set(s *slot[T], at time.Duration) {
+// set inserts the slot's item at a time, or moves it to that time.
+func (d *timeIndex[T]) set(s *timeSlot[T], at time.Duration) {
 	s.at = at
 	if s.place == 0 {
 		d.heap = append(d.heap, s)
 		s.place = len(d.heap)
 	}
-	d.settle(s.place - 1)
+	d.fix(s.place - 1)
 }
 
-func (d *due[T]) remove(s *slot[T]) {
+func (d *timeIndex[T]) remove(s *timeSlot[T]) {
 	if s.place == 0 {
 		return
 	}
@@ -30,35 +31,35 @@
 	d.swap(i, last)
 	d.heap[last], d.heap = nil, d.heap[:last]
 	if s.place = 0; i < last {
-		d.settle(i)
+		d.fix(i)
 	}
 }
 
-// next is the least time, false if the index is empty.
-func (d *due[T]) next() (time.Duration, bool) {
+// next returns the least time, or false if the index is empty.
+func (d *timeIndex[T]) next() (time.Duration, bool) {
 	if len(d.heap) == 0 {
 		return 0, false
 	}
 	return d.heap[0].at, true
 }
 
-// take removes all that is due and appends it to list, in no order.
-func (d *due[T]) take(now time.Duration, list []T) []T {
+// popDue removes the items whose time is now or earlier and appends them to list in no particular order.
+func (d *timeIndex[T]) popDue(now time.Duration, list []T) []T {
 	for len(d.heap) > 0 && d.heap[0].at <= now {
 		s := d.heap[0]
 		d.remove(s)
-		list = append(list, s.of)
+		list = append(list, s.item)
 	}
 	return list
 }
 
-func (d *due[T]) swap(i, j int) {
+func (d *timeIndex[T]) swap(i, j int) {
 	d.heap[i], d.heap[j] = d.heap[j], d.heap[i]
 	d.heap[i].place, d.heap[j].place = i+1, j+1
 }
 
-// settle moves what stands at i up or down to where it belongs.
-func (d *due[T]) settle(i int) {
+// fix restores the heap order after the time of the slot at i has changed.
+func (d *timeIndex[T]) fix(i int) {
 	for i > 0 && d.heap[i].at < d.heap[(i-1)/2].at {
 		d.swap(i, (i-1)/2)
 		i = (i - 1) / 2
--- a/balance/index_test.go
+++ b/balance/index_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// att is an attempt under way in a drawn run.
-type att struct {
+// attempt is a simulated attempt in flight.
+type attempt struct {
 	id  RequestID
 	n   int
 	s   ServerID
@@ -18,8 +18,8 @@
 	o   Outcome
 }
 
-// question is a poll under way.
-type question struct {
+// pendingPoll is a simulated poll in flight.
+type pendingPoll struct {
 	s       ServerID
 	at, end time.Duration
 	ok      bool
@@ -45,13 +45,13 @@
 	return c
 }
 
-// TestOnlyWhatIsDue: a router that sweeps the groups for which something may have changed acts, action for action, as
-// one that sweeps all of them each time, over drawn events: servers that die, lag, answer late and start cold, lists
-// that come and go, clients that leave, rounds that are long.
-func TestOnlyWhatIsDue(t *testing.T) {
+// TestSweepOfDueGroupsActsLikeFullSweep: sweeping only groups that may have changed must give the same actions as sweeping all of them.
+// Random events include servers that fail, lag, answer late and start cold, changing lists, aborted requests and
+// long gaps between batches.
+func TestSweepOfDueGroupsActsLikeFullSweep(t *testing.T) {
 	events, actions := 0, 0
 	for seed := range uint64(12) {
-		e, a := side(t, seed+1)
+		e, a := compareSweeps(t, seed+1)
 		events, actions = events+e, actions+a
 	}
 	if events < 50_000 || actions < 30_000 {
@@ -59,8 +59,8 @@
 	}
 }
 
-// timersKept checks that each member that is not being polled stands in the index at its time.
-func timersKept(t *testing.T, r *Router) {
+// checkTimers checks that each member without a poll in flight is in the index with the time of its next poll.
+func checkTimers(t *testing.T, r *Router) {
 	n := 0
 	for _, g := range r.order {
 		for _, s := range g.members {
@@ -77,8 +77,9 @@
 	}
 }
 
-// side plays a drawn run through two routers; what the first does makes the events.
-func side(t *testing.T, seed uint64) (events, actions int) {
+// compareSweeps feeds the same random events to a router that sweeps all groups and to one that sweeps those due; the
+// actions of the former produce the events.
+func compareSweeps(t *testing.T, seed uint64) (events, actions int) {
 	rng := rand.New(rand.NewPCG(seed, 77))
 	cfg := drawConfig(rng)
 	whole, err := New(cfg, seed)
@@ -103,8 +104,8 @@
 	slow := 1 + 20*rng.Float64()*rng.Float64()
 	rate := rng.Float64() * rng.Float64() * 8
 	evs := []Event{{Kind: EventList, List: ListCached, Entries: list}}
-	var atts []att
-	var polls []question
+	var attempts []attempt
+	var polls []pendingPoll
 	type timer struct {
 		tok uint64
 		at  time.Duration
@@ -115,14 +116,14 @@
 	next := RequestID(1)
 	for step := 0; step < 3000; step++ {
 		for _, g := range whole.order {
-			whole.stir(g)
+			whole.markDirty(g)
 		}
 		a, b := whole.Step(now, evs, nil), r.Step(now, evs, nil)
-		timersKept(t, r)
+		checkTimers(t, r)
 		events += len(evs)
 		actions += len(a)
 		if !reflect.DeepEqual(a, b) {
-			t.Fatalf("seed %d, step %d: %+v\nwhole  %+v\nby due %+v\nevents %+v", seed, step, cfg, a, b, evs)
+			t.Fatalf("seed %d, step %d: %+v\nwhole  %+v\ndue    %+v\nevents %+v", seed, step, cfg, a, b, evs)
 		}
 		for _, x := range a {
 			switch x.Kind {
@@ -139,18 +140,18 @@
 				} else if rng.IntN(30) == 0 {
 					o = Outcome(rng.IntN(9))
 				}
-				atts = append(atts, att{x.Request, counts[x.Request], x.Server, now, now + d, o})
+				attempts = append(attempts, attempt{x.Request, counts[x.Request], x.Server, now, now + d, o})
 				counts[x.Request]++
 			case ActionWithdraw:
-				for i := range atts {
-					if atts[i].id == x.Request && atts[i].n == x.Attempt {
-						atts[i].o, atts[i].end = OutcomeCancelled, now
+				for i := range attempts {
+					if attempts[i].id == x.Request && attempts[i].n == x.Attempt {
+						attempts[i].o, attempts[i].end = OutcomeCancelled, now
 					}
 				}
 			case ActionReject, ActionFail:
 				over[x.Request] = true
 			case ActionPoll:
-				polls = append(polls, question{x.Server, now, now + time.Duration(rng.ExpFloat64()*float64(3*ms)), now >= down[x.Server] && rng.IntN(40) > 0})
+				polls = append(polls, pendingPoll{x.Server, now, now + time.Duration(rng.ExpFloat64()*float64(3*ms)), now >= down[x.Server] && rng.IntN(40) > 0})
 			case ActionTimer:
 				timers = append(timers, timer{x.Token, now + x.After})
 			case ActionSubscribe:
@@ -173,7 +174,7 @@
 			}
 			return Report{Valid: true, HasRole: true, HasPosition: rng.IntN(20) > 0, Primary: p || rng.IntN(300) == 0, Position: at}
 		}
-		polls = slices.DeleteFunc(polls, func(p question) bool {
+		polls = slices.DeleteFunc(polls, func(p pendingPoll) bool {
 			if p.end > now {
 				return false
 			}
@@ -184,10 +185,10 @@
 			evs = append(evs, ev)
 			return true
 		})
-		var ka []att
-		for _, x := range atts {
+		var remaining []attempt
+		for _, x := range attempts {
 			if x.end > now {
-				ka = append(ka, x)
+				remaining = append(remaining, x)
 				continue
 			}
 			g := int(x.s-1) / 100
@@ -210,7 +211,7 @@
 			}
 			evs = append(evs, ev)
 		}
-		atts = ka
+		attempts = remaining
 		timers = slices.DeleteFunc(timers, func(x timer) bool {
 			if x.at <= now {
 				evs = append(evs, Event{Kind: EventTimer, Token: x.tok})
--- a/balance/invariant_test.go
+++ b/balance/invariant_test.go
@@ -8,38 +8,38 @@
 	"time"
 )
 
-// ledger checks the actions of a router against the rules, under random events.
-type ledger struct {
+// checker checks a router's actions against the rules under random events.
+type checker struct {
 	t        *testing.T
 	cfg      Config
 	now      time.Duration
-	open     map[RequestID]*entry
+	open     map[RequestID]*tracked
 	drained  map[ServerID]time.Duration
 	position map[ServerID]time.Duration
-	primary  map[ServerID]bool // named primary at some time, by what the router was told
+	primary  map[ServerID]bool // servers that were ever reported to the router as primary
 }
 
-type entry struct {
-	class *Class
-	out   map[int]ServerID
-	sends int
-	ran   bool
-	first time.Duration
-	final bool
-	end   time.Duration
+type tracked struct {
+	class      *Class
+	pending    map[int]ServerID
+	sends      int
+	mayHaveRun bool
+	first      time.Duration
+	final      bool
+	end        time.Duration
 }
 
-func (l *ledger) check(acts []Action) {
+func (l *checker) check(acts []Action) {
 	for _, a := range acts {
 		switch a.Kind {
 		case ActionTry:
-			l.try(a)
+			l.checkAttempt(a)
 		case ActionReject, ActionFail:
 			e := l.open[a.Request]
 			if e == nil || e.final {
 				l.t.Fatalf("second final answer of %d", a.Request)
 			}
-			if a.Kind == ActionReject && e.class.Effect != Safe && (e.ran || len(e.out) > 0) {
+			if a.Kind == ActionReject && e.class.Effect != Safe && (e.mayHaveRun || len(e.pending) > 0) {
 				l.t.Errorf("reject of %d that may have run", a.Request)
 			}
 			e.final = true
@@ -47,15 +47,15 @@
 	}
 }
 
-func (l *ledger) try(a Action) {
+func (l *checker) checkAttempt(a Action) {
 	e := l.open[a.Request]
 	if e == nil || e.final {
-		l.t.Fatalf("try of %d, which is finished", a.Request)
+		l.t.Fatalf("attempt of %d, which is finished", a.Request)
 	}
-	if len(e.out) > 0 && !l.cfg.ParallelTries {
-		l.t.Errorf("two attempts of %d out together", a.Request)
+	if len(e.pending) > 0 && !l.cfg.ParallelTries {
+		l.t.Errorf("two attempts of %d in flight at once", a.Request)
 	}
-	if e.ran || len(e.out) > 0 {
+	if e.mayHaveRun || len(e.pending) > 0 {
 		if e.class.Effect == Unsafe || e.class.Effect == Keyed && l.now-e.first >= e.class.Window {
 			l.t.Errorf("resend of %d, which may have run", a.Request)
 		}
@@ -67,20 +67,20 @@
 	}
 	if e.class.Need == NeedBounded && l.cfg.Behind == BehindServe && !l.primary[a.Server] &&
 		l.position[a.Server] < l.now-e.class.Bound {
-		l.t.Errorf("bounded read of %d sent without proof", a.Request)
+		l.t.Errorf("bounded read of %d sent to a server not known to be within the bound", a.Request)
 	}
-	e.out[e.sends] = a.Server
+	e.pending[e.sends] = a.Server
 	e.sends++
 }
 
-// play feeds a random stream and returns every action as text.
-func play(t *testing.T, cfg Config, seed uint64) string {
+// runRandom feeds random events to a router and returns all its actions as text.
+func runRandom(t *testing.T, cfg Config, seed uint64) string {
 	rng := rand.New(rand.NewPCG(seed, 1))
 	r, err := New(cfg, seed)
 	if err != nil {
 		t.Fatal(err)
 	}
-	l := &ledger{t: t, cfg: cfg, now: 50 * time.Second, open: map[RequestID]*entry{}, drained: map[ServerID]time.Duration{},
+	l := &checker{t: t, cfg: cfg, now: 50 * time.Second, open: map[RequestID]*tracked{}, drained: map[ServerID]time.Duration{},
 		position: map[ServerID]time.Duration{}, primary: map[ServerID]bool{}}
 	list := Event{Kind: EventList, List: ListCached}
 	for i := range 5 {
@@ -101,11 +101,11 @@
 			}
 		}
 		l.now += cfg.Round
-		events = append(l.random(rng, polls), Event{Kind: EventTimer, Token: token})
+		events = append(l.randomEvents(rng, polls), Event{Kind: EventTimer, Token: token})
 		for range rng.IntN(3) {
 			class := rng.IntN(len(cfg.Classes))
 			c := &cfg.Classes[class]
-			e := &entry{class: c, out: map[int]ServerID{}, end: l.now + time.Duration(rng.Int64N(int64(c.Deadline)))}
+			e := &tracked{class: c, pending: map[int]ServerID{}, end: l.now + time.Duration(rng.Int64N(int64(c.Deadline)))}
 			l.open[next] = e
 			events = append(events, Event{Kind: EventRequest, Request: next, Class: class, Key: rng.Uint64N(9), Deadline: e.end})
 			next++
@@ -114,8 +114,8 @@
 	return text
 }
 
-// random ends some attempts and polls, lets clients leave, and drains a server now and then.
-func (l *ledger) random(rng *rand.Rand, polls []ServerID) (events []Event) {
+// randomEvents ends some attempts and polls, aborts requests, and drains and restores servers.
+func (l *checker) randomEvents(rng *rand.Rand, polls []ServerID) (events []Event) {
 	for _, s := range polls {
 		o := OutcomeOK
 		if rng.IntN(10) == 0 {
@@ -124,7 +124,7 @@
 		rep := Report{Valid: true, HasPosition: true, HasRole: true, Primary: s == 1 || rng.IntN(20) == 0,
 			Position: l.now - l.cfg.Origin - time.Duration(rng.Int64N(int64(400*ms)))}
 		if o == OutcomeOK {
-			l.tell(s, rep.Position, rep.Primary)
+			l.observe(s, rep.Position, rep.Primary)
 		} else {
 			rep = Report{}
 		}
@@ -140,9 +140,9 @@
 			events = append(events, Event{Kind: EventAborted, Request: id})
 		}
 		for n := range e.sends {
-			s, ok := e.out[n]
+			s, ok := e.pending[n]
 			if ok && (rng.IntN(20) == 0 || l.now >= e.end) {
-				events = append(events, l.ended(rng, id, e, n, s))
+				events = append(events, l.endAttempt(rng, id, e, n, s))
 			}
 		}
 	}
@@ -158,13 +158,13 @@
 	return events
 }
 
-func (l *ledger) tell(s ServerID, position time.Duration, primary bool) {
+func (l *checker) observe(s ServerID, position time.Duration, primary bool) {
 	l.position[s] = max(l.position[s], l.cfg.Origin+position)
 	l.primary[s] = l.primary[s] || primary
 }
 
-func (l *ledger) ended(rng *rand.Rand, id RequestID, e *entry, n int, s ServerID) Event {
-	delete(e.out, n)
+func (l *checker) endAttempt(rng *rand.Rand, id RequestID, e *tracked, n int, s ServerID) Event {
+	delete(e.pending, n)
 	o := []Outcome{OutcomeOK, OutcomeOK, OutcomeError, OutcomeFull, OutcomeConnectFailed, OutcomeReset, OutcomeMiss,
 		OutcomeCancelled}[rng.IntN(8)]
 	if l.now >= e.end {
@@ -177,14 +177,14 @@
 		if s == 1 && o != OutcomeMiss {
 			ev.Role = RolePrimary
 		}
-		l.tell(s, ev.Position, ev.Role == RolePrimary)
+		l.observe(s, ev.Position, ev.Role == RolePrimary)
 	}
 	switch o {
 	case OutcomeOK:
 		e.final = true
 	case OutcomeFull, OutcomeConnectFailed, OutcomeMiss:
 	default:
-		e.ran = true
+		e.mayHaveRun = true
 	}
 	ev.Settled = e.final
 	return ev
@@ -199,11 +199,11 @@
 		if seed%5 == 2 {
 			cfg.Behind, cfg.CatchUpWait = BehindWait, 100*ms
 		}
-		first := play(t, cfg, seed)
+		first := runRandom(t, cfg, seed)
 		if t.Failed() {
 			t.Fatalf("seed %d", seed)
 		}
-		if !reflect.DeepEqual(first, play(t, cfg, seed)) {
+		if !reflect.DeepEqual(first, runRandom(t, cfg, seed)) {
 			t.Errorf("seed %d: the same events gave other actions", seed)
 		}
 	}
--- a/balance/view.go
+++ b/balance/view.go
@@ -6,45 +6,47 @@
 	"time"
 )
 
-// primaryLog begins the text with which a router logs that it follows another primary.
-const primaryLog = "primary is now "
+// primaryLogPrefix begins the text of the ActionLog for a change of primary; the server's ID follows in hex.
+const primaryLogPrefix = "primary is now "
 
-// LoggedPrimary is the server that such a text names, false for other texts. Routers know servers by number alone.
+// LoggedPrimary returns the new primary that the text of an ActionLog names, or false for any other text. It lets callers log
+// the server's name, which routers do not know.
 func LoggedPrimary(text string) (ServerID, bool) {
-	number, ok := strings.CutPrefix(text, primaryLog)
+	number, ok := strings.CutPrefix(text, primaryLogPrefix)
 	id, err := strconv.ParseUint(number, 16, 64)
 	return ServerID(id), ok && err == nil
 }
 
-// View is what a router believes of one server, for operators and tests. It decides nothing.
+// View is a router's current state of one server, for operators and tests.
 type View struct {
 	Server   ServerID
 	Life     Life
-	Primary  bool
-	Polled   bool          // it answered a poll since it last failed
-	Silent   bool          // it keeps requests without answering any
-	Fails    int           // polls in a row that failed
-	Out      int           // requests that are with it
-	Limit    float64       // of those
-	Warmth   float64       // least share of its capacity that it has by now
-	Credit   float64       // sends it may have while cold
-	Behind   time.Duration // age of the position it was last told to have
-	Position time.Duration // 0 if none was told
+	Primary  bool          // it counts as the group's primary
+	Polled   bool          // it answered a poll since its last failure
+	Silent   bool          // it leaves its pending requests unanswered
+	Fails    int           // consecutive failed polls
+	Out      int           // pending requests of this router
+	Limit    float64       // most pending requests, at least 1; the primary's depends on the class too
+	Warmth   float64       // least share of its capacity that it has, 0 to 1 (slow start)
+	Credit   float64       // requests that may be sent while it is cold
+	Behind   time.Duration // age of its highest reported position
+	Position time.Duration // highest reported position as a clock time; 0 if none
 }
 
-// Views appends what the router believes of the servers it knows, by group and ID.
+// Views appends the state of each server to list, ordered by first mention of the group and by server ID.
 func (r *Router) Views(list []View) []View {
 	for _, g := range r.order {
 		for _, s := range g.members {
 			list = append(list, View{Server: s.id, Life: s.life, Primary: g.primary == s, Polled: s.polled, Silent: r.silent(s),
-				Fails: s.fails, Out: len(s.out), Limit: s.limit, Warmth: r.warmth(s), Credit: s.credit,
+				Fails: s.failedPolls, Out: len(s.pending), Limit: s.limit, Warmth: r.warmth(s), Credit: s.coldCredit,
 				Behind: r.now - s.position, Position: s.position})
 		}
 	}
 	return list
 }
 
-// Paces are the shares of first attempts that may go: of a group's primary's own work, of reads, of reads at the primary.
+// Paces returns the shares of first attempts, 0 to 1, that a group currently admits: of requests that only the primary serves, of
+// reads, and of reads that fall back to the primary. An unknown group has zeros.
 func (r *Router) Paces(group int) [3]float64 {
 	var p [3]float64
 	if g := r.groups[group]; g != nil {
@@ -55,5 +57,5 @@
 	return p
 }
 
-// Budget is what is left for attempts after the first.
-func (r *Router) Budget() float64 { return r.budget }
+// Budget returns the retry budget: how many further attempts may be sent, from 0 to 20.
+func (r *Router) Budget() float64 { return r.retryBudget }
