--- a/internal/schedule/schedule.go
+++ b/internal/schedule/schedule.go
@@ -1,10 +1,10 @@
-// Package schedule keeps things in the order of their times, and of being put in where times are equal. It allocates
-// nothing but its own growth, unlike container/heap, which boxes each thing twice.
+// Package schedule provides a queue of items ordered by time, and by insertion where times are equal. It allocates only to
+// grow, unlike container/heap, which boxes each item twice.
 package schedule
 
 import "time"
 
-// Queue is a heap of things by time. The zero Queue is empty; it is not safe for concurrent use.
+// Queue is a priority queue of items by time. The zero Queue is empty. It is not safe for concurrent use.
 type Queue[T any] struct {
 	heap []item[T]
 	seq  uint64
@@ -18,10 +18,10 @@
 
 func (a *item[T]) before(b *item[T]) bool { return a.at < b.at || a.at == b.at && a.seq < b.seq }
 
-// Len is how many things there are.
+// Len returns the number of items.
 func (q *Queue[T]) Len() int { return len(q.heap) }
 
-// Put puts a thing in.
+// Put inserts an item at a time, after those already there at the same time.
 func (q *Queue[T]) Put(at time.Duration, of T) {
 	q.seq++
 	q.heap = append(q.heap, item[T]{at, q.seq, of})
@@ -32,7 +32,7 @@
 	}
 }
 
-// Next is the time of the first thing, false if there is none.
+// Next returns the time of the first item, or false if the queue is empty.
 func (q *Queue[T]) Next() (time.Duration, bool) {
 	if len(q.heap) == 0 {
 		return 0, false
@@ -40,7 +40,7 @@
 	return q.heap[0].at, true
 }
 
-// Take removes the first thing and returns it with its time. There must be one.
+// Take removes the first item and returns it with its time. It panics if the queue is empty.
 func (q *Queue[T]) Take() (time.Duration, T) {
 	first, last := q.heap[0], len(q.heap)-1
 	q.heap[0] = q.heap[last]
--- a/internal/schedule/schedule_test.go
+++ b/internal/schedule/schedule_test.go
@@ -8,15 +8,15 @@
 	"pgregory.net/rapid"
 )
 
-// TestOrder: things come out by time, and in the order of coming in where times are equal.
+// TestOrder: items are returned by time, and in order of insertion where times are equal.
 func TestOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		type thing struct {
+		type entry struct {
 			at time.Duration
 			n  int
 		}
-		var q Queue[thing]
-		var want []thing
+		var q Queue[entry]
+		var want []entry
 		for n := range rapid.IntRange(0, 200).Draw(t, "operations") {
 			if q.Len() > 0 && rapid.IntRange(0, 2).Draw(t, "take") == 0 {
 				next, _ := q.Next()
@@ -27,10 +27,10 @@
 				want = want[1:]
 				continue
 			}
-			x := thing{time.Duration(rapid.IntRange(0, 9).Draw(t, "at")), n}
+			x := entry{time.Duration(rapid.IntRange(0, 9).Draw(t, "at")), n}
 			q.Put(x.at, x)
 			want = append(want, x)
-			slices.SortStableFunc(want, func(a, b thing) int { return int(a.at - b.at) })
+			slices.SortStableFunc(want, func(a, b entry) int { return int(a.at - b.at) })
 		}
 		if q.Len() != len(want) {
 			t.Fatalf("%d left, want %d", q.Len(), len(want))
