--- a/cmd/drill/main.go
+++ b/cmd/drill/main.go
@@ -1,4 +1,5 @@
-// Command drill hosts any number of routers behind the simulator's wire on standard input and output.
+// Command drill runs any number of routers for the simulator, which exchanges frames of package wire with it over standard
+// input and output. Frames hold batches of events and are answered by batches of actions.
 package main
 
 import (
@@ -20,18 +21,19 @@
 	}
 }
 
-// instance is one router and what the batch at hand brought it.
+// instance is one router and its events of the current batch.
 type instance struct {
 	id      uint32
 	router  *balance.Router
 	events  []balance.Event
-	pending bool
-	fault   string
+	pending bool   // it has inputs in the current batch
+	fault   string // panic of its decision code; empty if none
 }
 
+// host runs the instances of one connection to the simulator.
 type host struct {
 	instances map[uint32]*instance
-	touched   []*instance
+	active    []*instance // instances with inputs in the current batch, in order
 	actions   []balance.Action
 }
 
@@ -48,7 +50,7 @@
 		if err != nil {
 			return err
 		}
-		if err := h.take(inputs); err != nil {
+		if err := h.deliver(inputs); err != nil {
 			return err
 		}
 		enc.Begin()
@@ -62,9 +64,9 @@
 	}
 }
 
-// take hands each input to its instance, in order.
-func (h *host) take(inputs []wire.Input) error {
-	h.touched = h.touched[:0]
+// deliver assigns each input of a batch to its instance, in order, and starts and stops routers.
+func (h *host) deliver(inputs []wire.Input) error {
+	h.active = h.active[:0]
 	for i := range inputs {
 		in := &inputs[i]
 		inst := h.instances[in.Instance]
@@ -74,7 +76,7 @@
 		}
 		if !inst.pending {
 			inst.pending = true
-			h.touched = append(h.touched, inst)
+			h.active = append(h.active, inst)
 		}
 		switch {
 		case in.Start != nil:
@@ -92,14 +94,14 @@
 	return nil
 }
 
-// step lets every touched instance act once.
+// step runs one step of each active instance and encodes its actions. An instance that faults is stopped.
 func (h *host) step(now time.Duration, enc *wire.Encoder) {
-	for _, inst := range h.touched {
+	for _, inst := range h.active {
 		inst.pending = false
 		if inst.router != nil {
 			h.actions = inst.step(now, h.actions[:0])
 			if len(h.actions) > 0 || inst.fault != "" {
-				enc.As(inst.id)
+				enc.SelectInstance(inst.id)
 			}
 			for i := range h.actions {
 				enc.Action(&h.actions[i])
@@ -114,6 +116,7 @@
 	}
 }
 
+// step runs the router on the batch's events. A panic becomes the instance's fault, so that others go on.
 func (i *instance) step(now time.Duration, actions []balance.Action) (out []balance.Action) {
 	defer func() {
 		if p := recover(); p != nil {
--- a/cmd/drill/main_test.go
+++ b/cmd/drill/main_test.go
@@ -29,8 +29,8 @@
 	"family-info.needs-by-class=loose\ndiscovery=ask\nround=5"
 
 func TestServeRestartsInOneBatchAndEndsCleanly(t *testing.T) {
-	about, stop := record(1030, []byte{1, 0, 0, 0}), record(1010, nil)
-	in := bytes.Join([][]byte{batch(), batch(about, start(settings)), batch(about, stop, start(settings)), batch(about, stop)}, nil)
+	selectInstance, stop := record(1030, []byte{1, 0, 0, 0}), record(1010, nil)
+	in := bytes.Join([][]byte{batch(), batch(selectInstance, start(settings)), batch(selectInstance, stop, start(settings)), batch(selectInstance, stop)}, nil)
 	var a, b bytes.Buffer
 	if err := serve(bytes.NewReader(in), &a); err != nil {
 		t.Fatal(err)
--- a/internal/wire/json.go
+++ b/internal/wire/json.go
@@ -11,11 +11,11 @@
 	"umberladder/balance"
 )
 
-// Values is the start settings as path=value pairs: nested names are joined by dots, a list of plain values by
-// commas, and a list of objects has its length under .count and its items under .0, .1 and so on.
+// Values holds the start settings, flattened to a value for each path: nested names are joined by dots, and lists of plain
+// values by commas. A list of objects has its length under .count and its items under .0, .1 and so on.
 type Values map[string]string
 
-// ValuesOfJSON flattens nested settings.
+// ValuesOfJSON flattens settings given as a JSON object. It fails if raw is not one.
 func ValuesOfJSON(raw []byte) (Values, error) {
 	var tree map[string]any
 	dec := json.NewDecoder(bytes.NewReader(raw))
@@ -24,22 +24,22 @@
 		return nil, fmt.Errorf("settings: %w", err)
 	}
 	v := Values{}
-	v.put("", tree)
+	v.flatten("", tree)
 	return v, nil
 }
 
-func (v Values) put(path string, x any) {
+func (v Values) flatten(path string, x any) {
 	switch x := x.(type) {
 	case map[string]any:
 		for name, item := range x {
-			v.put(strings.TrimPrefix(path+"."+name, "."), item)
+			v.flatten(strings.TrimPrefix(path+"."+name, "."), item)
 		}
 	case []any:
 		var plain []string
 		for i, item := range x {
 			switch item.(type) {
 			case map[string]any, []any:
-				v.put(path+"."+strconv.Itoa(i), item)
+				v.flatten(path+"."+strconv.Itoa(i), item)
 			default:
 				plain = append(plain, text(item))
 			}
@@ -61,15 +61,15 @@
 	return fmt.Sprint(x)
 }
 
-// Config is what a router is told by the settings.
+// Config returns a router's configuration. The error names the first invalid setting; absent ones have defaults.
 func (v Values) Config() (balance.Config, error) {
 	s := &settings{values: v}
 	cfg := s.config()
 	return cfg, s.err
 }
 
-// List is a setting of plain values.
+// List returns a setting that is a list of plain values, nil if it is absent or empty.
 func (v Values) List(key string) []string { return (&settings{values: v}).list(key) }
 
-// Time is a setting in milliseconds; 0 where it is absent or unusable.
+// Time returns a setting in milliseconds as a duration, 0 if it is absent or invalid.
 func (v Values) Time(key string) time.Duration { return (&settings{values: v}).time(key) }
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -10,13 +10,14 @@
 	"umberladder/balance"
 )
 
-// settings reads values; the first unusable one is kept in err.
+// settings reads typed values and keeps the first error in err.
 type settings struct {
 	values Values
 	err    error
 }
 
-// ParseSettings reads the start settings and the order of the report's values. Unknown keys are skipped.
+// ParseSettings parses start settings, one key=value per line. It returns the router's configuration and the names of a
+// report's values in order. Unknown keys are ignored. The error names the first invalid line or setting.
 func ParseSettings(text string) (balance.Config, []string, error) {
 	v := Values{}
 	for n, line := range strings.Split(text, "\n") {
@@ -25,7 +26,7 @@
 		}
 		key, value, ok := strings.Cut(line, "=")
 		if !ok {
-			return balance.Config{}, nil, fmt.Errorf("settings line %d: no '='", n+1)
+			return balance.Config{}, nil, fmt.Errorf("settings line %d: want key=value", n+1)
 		}
 		v[key] = strings.TrimSuffix(value, "\r")
 	}
@@ -60,16 +61,16 @@
 		DialTimeout:   s.time("bounds.dial-timeout"),
 		ListsRole:     s.values["family-info.shows-role"] == "delayed",
 	}
-	cfg.Behind = word(s, "family-info.behind", map[string]balance.Behind{"": balance.BehindServe,
+	cfg.Behind = choice(s, "family-info.behind", map[string]balance.Behind{"": balance.BehindServe,
 		"none": balance.BehindServe, "reject": balance.BehindReject, "hold": balance.BehindWait})
 	n := int(s.number("classes.count", 0))
 	if n < 0 || n > math.MaxUint8+1 {
-		s.fail("classes.count", "out of range")
+		s.fail("classes.count", "must be between 0 and 256")
 		return cfg
 	}
 	needs, bounds := s.list("family-info.needs-by-class"), s.list("family-info.oldest-data")
 	if len(needs) != n {
-		s.fail("family-info.needs-by-class", fmt.Sprintf("names %d classes of %d", len(needs), n))
+		s.fail("family-info.needs-by-class", fmt.Sprintf("has %d values for %d classes", len(needs), n))
 		return cfg
 	}
 	for i := range n {
@@ -88,20 +89,20 @@
 		Worth:     s.number(at+"worth", 1),
 		LateWorth: s.number(at+"late-worth", 0),
 	}
-	c.Effect = word(s, at+"effect", map[string]balance.Effect{"read_like": balance.Safe,
+	c.Effect = choice(s, at+"effect", map[string]balance.Effect{"read_like": balance.Safe,
 		"idempotency_key": balance.Keyed, "non_idempotent": balance.Unsafe})
-	c.Scope = word(s, at+"group", map[string]balance.Scope{"": balance.ScopeGroup, "cell": balance.ScopeGroup,
+	c.Scope = choice(s, at+"group", map[string]balance.Scope{"": balance.ScopeGroup, "cell": balance.ScopeGroup,
 		"zone": balance.ScopeZone, "all": balance.ScopeAll})
 	needs := map[string]balance.Need{"update": balance.NeedWrite, "latest": balance.NeedFresh,
 		"own_writes": balance.NeedSession, "recent": balance.NeedBounded, "loose": balance.NeedAny}
 	kind, ok := needs[need]
 	if !ok {
-		s.fail("family-info.needs-by-class", strconv.Quote(need)+" is no need")
+		s.fail("family-info.needs-by-class", strconv.Quote(need)+" is not one of update, latest, own_writes, recent, loose")
 	}
 	c.Need = kind
 	if kind == balance.NeedBounded {
 		if i >= len(bounds) {
-			s.fail("family-info.oldest-data", "is too short")
+			s.fail("family-info.oldest-data", "has fewer values than there are classes")
 			return c
 		}
 		c.Bound = s.parseTime("family-info.oldest-data", bounds[i])
@@ -109,10 +110,11 @@
 	return c
 }
 
-func word[T any](s *settings, key string, words map[string]T) T {
-	v, ok := words[s.values[key]]
+// choice returns the value that choices has for a setting.
+func choice[T any](s *settings, key string, choices map[string]T) T {
+	v, ok := choices[s.values[key]]
 	if !ok {
-		s.fail(key, strconv.Quote(s.values[key])+" is no choice")
+		s.fail(key, strconv.Quote(s.values[key])+" is not an allowed value")
 	}
 	return v
 }
@@ -131,7 +133,7 @@
 	}
 	v, err := strconv.ParseFloat(text, 64)
 	if err != nil || math.IsNaN(v) || math.Abs(v) > 9e12 {
-		s.fail(key, strconv.Quote(text)+" is no number")
+		s.fail(key, strconv.Quote(text)+" is not a number of magnitude up to 9e12")
 		return absent
 	}
 	return v
@@ -146,7 +148,7 @@
 	v, err := strconv.ParseFloat(text, 64)
 	t, ok := Millis(v)
 	if err != nil || !ok {
-		s.fail(key, strconv.Quote(text)+" is no time")
+		s.fail(key, strconv.Quote(text)+" is not a time in ms of magnitude up to 9e12")
 	}
 	return t
 }
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -1,5 +1,5 @@
-// Package wire translates the simulator's binary frames to the events and actions of package balance.
-// It decides nothing: what the wire says is what the module hears, and the other way round.
+// Package wire decodes the simulator's binary frames into events of package balance, and encodes its actions
+// into frames. It also parses the start settings. It makes no decisions of its own.
 package wire
 
 import (
@@ -13,52 +13,52 @@
 	"umberladder/balance"
 )
 
-// Record codes of events.
+// Record codes of a batch from the simulator.
 const (
-	codeOutcome   = 1000
-	codeStop      = 1010
-	codePeer      = 1020
-	codeAbout     = 1030
-	codeProbed    = 1040
-	codeTimer     = 1050
-	codeInventory = 1060
-	codeInit      = 1070
-	codeRequest   = 1080
-	codeEndpoints = 1090
-	codeGone      = 1100
-	codeFirst     = 1110
+	codeOutcome    = 1000
+	codeStop       = 1010
+	codePeer       = 1020
+	codeInstance   = 1030
+	codePollResult = 1040
+	codeTimer      = 1050
+	codeList       = 1060
+	codeStart      = 1070
+	codeRequest    = 1080
+	codeListEvent  = 1090
+	codeAborted    = 1100
+	codeOpened     = 1110
 )
 
-// Record codes of actions.
+// Record codes of a reply to the simulator.
 const (
-	codeSend   = 1000
-	codeRefuse = 1010
-	codeFail   = 1020
-	codeCancel = 1030
-	codeArm    = 1040
-	codeProbe  = 1050
-	codeLog    = 1080
-	codeFault  = 1090
-	codeClose  = 1060
-	codeWatch  = 1100
-	codeAs     = 1120
+	codeTry        = 1000
+	codeReject     = 1010
+	codeFail       = 1020
+	codeWithdraw   = 1030
+	codeSetTimer   = 1040
+	codePoll       = 1050
+	codeLog        = 1080
+	codeFault      = 1090
+	codeDisconnect = 1060
+	codeSubscribe  = 1100
+	codeSelect     = 1120
 )
 
 const (
-	frameHeader  = 16
-	recordHeader = 6
-	entrySize    = 27
-	maxLists     = 16
-	maxFrame     = 1 << 30
+	frameHeader  = 16      // bytes
+	recordHeader = 6       // bytes
+	entrySize    = 27      // bytes of a list entry
+	maxLists     = 16      // list numbers are below it
+	maxFrame     = 1 << 30 // bytes of a frame's body
 )
 
-// Start opens an instance.
+// Start is the seed and configuration with which an instance starts.
 type Start struct {
 	Seed   uint64
 	Config balance.Config
 }
 
-// Input is one record for one instance: a start, a stop, or an event.
+// Input is one record for one instance: a start if Start is set, a stop if Stop is, else an event.
 type Input struct {
 	Instance uint32
 	Start    *Start
@@ -66,30 +66,31 @@
 	Event    balance.Event
 }
 
-// Decoder reads batches. Report layouts and list numbers are kept between them.
+// Decoder reads batches. It keeps each instance's report layout and the numbered lists from one batch to the next.
 type Decoder struct {
 	r      io.Reader
 	buf    []byte
 	lists  [maxLists][]balance.Entry
-	fields map[uint32][]string
+	fields map[uint32][]string // names of a report's values, by instance
 	inputs []Input
-	record int
+	record int // number of the current record in its batch
 }
 
-// NewDecoder returns a decoder of r.
+// NewDecoder returns a Decoder that reads from r. It reads in small pieces, so r should be buffered.
 func NewDecoder(r io.Reader) *Decoder {
 	return &Decoder{r: r, fields: map[uint32][]string{}}
 }
 
-// Next returns the clock and the records of the next batch, valid until the next call. The error is
-// io.EOF at a clean end of input.
+// Next returns the clock and the inputs of the next batch, valid until the next call. It blocks until a batch is
+// complete. The error is io.EOF at the end of input between batches; any other error names the faulty record, and
+// the Decoder must not be used after it.
 func (d *Decoder) Next() (time.Duration, []Input, error) {
 	var head [frameHeader]byte
 	if _, err := io.ReadFull(d.r, head[:]); err != nil {
 		if err == io.EOF {
 			return 0, nil, io.EOF
 		}
-		return 0, nil, fmt.Errorf("frame header is cut short: %v", err)
+		return 0, nil, fmt.Errorf("frame header truncated: %v", err)
 	}
 	size := int(binary.LittleEndian.Uint32(head[:]))
 	count := int(binary.LittleEndian.Uint32(head[4:]))
@@ -101,15 +102,15 @@
 	if !ok {
 		return 0, nil, fmt.Errorf("frame header: clock %v is not a time", clock)
 	}
-	if err := d.fill(size); err != nil {
-		return 0, nil, fmt.Errorf("frame of %d bytes is cut short: %v", size, err)
+	if err := d.readBody(size); err != nil {
+		return 0, nil, fmt.Errorf("frame of %d bytes truncated: %v", size, err)
 	}
 	err := d.records(count)
 	return now, d.inputs, err
 }
 
-// fill reads a body piece by piece, so that a false size cannot claim memory that never arrives.
-func (d *Decoder) fill(size int) error {
+// readBody reads a body piece by piece, so that a wrong size does not allocate memory for data that never arrives.
+func (d *Decoder) readBody(size int) error {
 	const piece = 1 << 20
 	d.buf = d.buf[:0]
 	for len(d.buf) < size {
@@ -128,10 +129,10 @@
 func (d *Decoder) records(count int) error {
 	clear(d.inputs)
 	d.inputs = d.inputs[:0]
-	at, who, named := 0, uint32(0), false
+	at, instance, selected := 0, uint32(0), false
 	for d.record = 0; d.record < count; d.record++ {
 		if len(d.buf)-at < recordHeader {
-			return fmt.Errorf("record %d at offset %d: header is cut short", d.record, at+frameHeader)
+			return fmt.Errorf("record %d at offset %d: header truncated", d.record, at+frameHeader)
 		}
 		code := binary.LittleEndian.Uint16(d.buf[at:])
 		size := int(binary.LittleEndian.Uint32(d.buf[at+2:]))
@@ -140,12 +141,12 @@
 				d.record, code, at+frameHeader, size, len(d.buf)-at-recordHeader)
 		}
 		c := &cursor{b: d.buf[at+recordHeader : at+recordHeader+size]}
-		err := d.decode(code, c, &who, &named)
+		err := d.decode(code, c, &instance, &selected)
 		if err == nil {
 			err = c.err
 		}
-		if err == nil && known(code) && len(c.b) > 0 {
-			err = fmt.Errorf("%d bytes too many", len(c.b))
+		if err == nil && knownCode(code) && len(c.b) > 0 {
+			err = fmt.Errorf("%d bytes after the last field", len(c.b))
 		}
 		if err != nil {
 			return fmt.Errorf("record %d (code %d) at offset %d: %w", d.record, code, at+frameHeader, err)
@@ -158,29 +159,29 @@
 	return nil
 }
 
-func known(code uint16) bool {
-	return code >= codeOutcome && code <= codeFirst && code%10 == 0 && code != codePeer
+func knownCode(code uint16) bool {
+	return code >= codeOutcome && code <= codeOpened && code%10 == 0 && code != codePeer
 }
 
-func (d *Decoder) decode(code uint16, c *cursor, who *uint32, named *bool) error {
-	if !known(code) {
+func (d *Decoder) decode(code uint16, c *cursor, instance *uint32, selected *bool) error {
+	if !knownCode(code) {
 		return nil
 	}
 	switch code {
-	case codeAbout:
-		*who, *named = c.u32(), true
+	case codeInstance:
+		*instance, *selected = c.u32(), true
 		return nil
-	case codeInventory:
+	case codeList:
 		return d.inventory(c)
 	}
-	if !*named {
-		return errors.New("no instance named before it")
+	if !*selected {
+		return errors.New("no instance selected before it")
 	}
-	in := Input{Instance: *who}
+	in := Input{Instance: *instance}
 	var err error
 	switch code {
-	case codeInit:
-		in.Start, err = d.start(*who, c)
+	case codeStart:
+		in.Start, err = d.start(*instance, c)
 	case codeStop:
 		in.Stop = true
 	default:
@@ -190,36 +191,36 @@
 	return err
 }
 
-func (d *Decoder) start(who uint32, c *cursor) (*Start, error) {
+func (d *Decoder) start(instance uint32, c *cursor) (*Start, error) {
 	seed := c.u64()
 	text := c.bytes(int(c.u32()))
 	if c.err != nil {
 		return nil, c.err
 	}
 	cfg, fields, err := ParseSettings(string(text))
-	d.fields[who] = fields
+	d.fields[instance] = fields
 	return &Start{Seed: seed, Config: cfg}, err
 }
 
 func (d *Decoder) event(code uint16, c *cursor, in *Input) error {
 	e := &in.Event
 	switch code {
-	case codeEndpoints:
+	case codeListEvent:
 		return d.endpoints(c, e)
 	case codeRequest:
 		d.request(c, e)
 	case codeOutcome:
 		d.outcome(c, in)
-	case codeProbed:
+	case codePollResult:
 		e.Kind = balance.EventPoll
 		e.Server, e.Age = c.server(), c.time()
 		e.Outcome = c.outcome()
 		e.Report = c.report(d.fields[in.Instance])
 	case codeTimer:
 		e.Kind, e.Token = balance.EventTimer, c.u64()
-	case codeGone:
+	case codeAborted:
 		e.Kind, e.Request = balance.EventAborted, balance.RequestID(c.u64())
-	case codeFirst:
+	case codeOpened:
 		e.Kind, e.Request = balance.EventOpened, balance.RequestID(c.u64())
 		e.Attempt, e.Server, e.Age = int(c.u8()), c.server(), c.time()
 	}
@@ -243,14 +244,14 @@
 	e.Attempt, e.Server = int(c.u8()), c.server()
 	e.Outcome, e.Age = c.outcome(), c.time()
 	e.Settled = c.u8() != 0
-	note := c.u32()
-	switch note & 3 {
+	packed := c.u32() // the role in the lower 2 bits, the position in ms above
+	switch packed & 3 {
 	case 1:
 		e.Role = balance.RolePrimary
 	case 2:
 		e.Role = balance.RoleReplica
 	}
-	e.Position = time.Duration(note>>2) * time.Millisecond
+	e.Position = time.Duration(packed>>2) * time.Millisecond
 	e.Report = c.report(d.fields[in.Instance])
 }
 
@@ -259,7 +260,7 @@
 	c.u64()
 	kind, number := c.u8(), c.u8()
 	if kind > 3 {
-		return fmt.Errorf("list kind %d is none", kind)
+		return fmt.Errorf("unknown list kind %d, want 0 to 3", kind)
 	}
 	e.List = balance.ListKind(kind)
 	if e.List == balance.ListFailed {
@@ -278,7 +279,7 @@
 		return fmt.Errorf("list number %d out of range", number)
 	}
 	if n > len(c.b)/entrySize {
-		return fmt.Errorf("%d entries stated in %d bytes", n, len(c.b))
+		return fmt.Errorf("%d list entries stated in %d bytes", n, len(c.b))
 	}
 	list := make([]balance.Entry, n)
 	for i := range list {
@@ -293,7 +294,7 @@
 		case 1:
 			e.Life = balance.LifeGone
 		default:
-			return fmt.Errorf("entry %d: lifecycle %d is none", i, life)
+			return fmt.Errorf("entry %d: unknown lifecycle %d, want 0, 1 or 3", i, life)
 		}
 		e.Group = int(c.u16())
 		e.Primary = c.f32() == 1
@@ -305,18 +306,18 @@
 	return c.err
 }
 
-// cursor takes fields off the front of a record and remembers the first thing wrong.
+// cursor reads the fields of a record in order and keeps the first error. After an error fields read as zero.
 type cursor struct {
 	b   []byte
 	err error
 }
 
-var errShort = errors.New("fields are cut short")
+var errTruncated = errors.New("fields truncated")
 
 func (c *cursor) bytes(n int) []byte {
 	if n < 0 || n > len(c.b) {
 		if c.err == nil {
-			c.err = errShort
+			c.err = errTruncated
 		}
 		c.b = nil
 		return nil
@@ -375,7 +376,7 @@
 func (c *cursor) outcome() balance.Outcome {
 	rc := c.u8()
 	if rc > uint8(balance.OutcomeMiss) && c.err == nil {
-		c.err = fmt.Errorf("completion code %d is none", rc)
+		c.err = fmt.Errorf("unknown completion code %d", rc)
 	}
 	return balance.Outcome(rc)
 }
@@ -399,7 +400,8 @@
 	return rep
 }
 
-// Millis turns milliseconds into a time in whole microseconds, as the simulator counts; false if they are none.
+// Millis converts milliseconds to a duration, rounded to microseconds, the resolution of the simulator. It returns false for NaN
+// and for magnitudes above 9e12.
 func Millis(ms float64) (time.Duration, bool) {
 	if math.IsNaN(ms) || math.Abs(ms) > 9e12 {
 		return 0, false
@@ -407,8 +409,8 @@
 	return time.Duration(math.Round(ms*1000)) * time.Microsecond, true
 }
 
-// floorSeconds and floorMillis undo the nearest-value rounding of a 32-bit float downwards: the true
-// value is never below what they return.
+// floorSeconds and floorMillis convert a 32-bit float that was rounded to nearest, and round down: the result is never above
+// the original value.
 func floorSeconds(s float32) time.Duration { return floorFloat(s, float64(time.Second)) }
 func floorMillis(ms float32) time.Duration { return floorFloat(ms, float64(time.Millisecond)) }
 
@@ -420,58 +422,58 @@
 	return time.Duration(f * unit)
 }
 
-// Encoder builds a reply.
+// Encoder builds a reply to one batch. The zero value is ready for Begin.
 type Encoder struct{ buf []byte }
 
-// Begin starts a new reply.
+// Begin starts a new, empty reply and invalidates the last one.
 func (e *Encoder) Begin() { e.buf = append(e.buf[:0], 0, 0, 0, 0) }
 
-// Finish returns the reply, valid until Begin.
+// Finish completes the reply and returns it. It is valid until the next Begin.
 func (e *Encoder) Finish() []byte {
 	binary.LittleEndian.PutUint32(e.buf, uint32(len(e.buf)-4))
 	return e.buf
 }
 
-// As names the instance of the actions that follow.
-func (e *Encoder) As(instance uint32) {
-	e.head(codeAs, 4)
+// SelectInstance selects the instance of the actions and faults that follow.
+func (e *Encoder) SelectInstance(instance uint32) {
+	e.head(codeSelect, 4)
 	e.buf = binary.LittleEndian.AppendUint32(e.buf, instance)
 }
 
-// Fault reports that the decision code failed.
+// Fault writes that the selected instance's decision code failed, with at most 65535 bytes of text.
 func (e *Encoder) Fault(text string) { e.text(codeFault, text) }
 
-// Action writes one action.
+// Action writes one action of the selected instance. A log text is cut at 65535 bytes.
 func (e *Encoder) Action(a *balance.Action) {
 	switch a.Kind {
 	case balance.ActionTry:
-		e.head(codeSend, 22)
+		e.head(codeTry, 22)
 		e.u64(uint64(a.Request))
 		e.server(a.Server)
 		e.ms(a.After)
 	case balance.ActionWithdraw:
-		e.head(codeCancel, 9)
+		e.head(codeWithdraw, 9)
 		e.u64(uint64(a.Request))
 		e.buf = append(e.buf, byte(a.Attempt))
 	case balance.ActionReject:
-		e.head(codeRefuse, 16)
+		e.head(codeReject, 16)
 		e.u64(uint64(a.Request))
 		e.ms(a.After)
 	case balance.ActionFail:
 		e.head(codeFail, 8)
 		e.u64(uint64(a.Request))
 	case balance.ActionPoll:
-		e.head(codeProbe, 6)
+		e.head(codePoll, 6)
 		e.server(a.Server)
 	case balance.ActionDisconnect:
-		e.head(codeClose, 6)
+		e.head(codeDisconnect, 6)
 		e.server(a.Server)
 	case balance.ActionTimer:
-		e.head(codeArm, 16)
+		e.head(codeSetTimer, 16)
 		e.u64(a.Token)
 		e.ms(a.After)
 	case balance.ActionSubscribe:
-		e.head(codeWatch, 1)
+		e.head(codeSubscribe, 1)
 		e.buf = append(e.buf, 1)
 	case balance.ActionLog:
 		e.text(codeLog, a.Text)
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -14,7 +14,7 @@
 	"umberladder/balance"
 )
 
-// frame wraps records, counted by the caller, at a clock of 1,000 ms.
+// frame wraps records in a frame with a clock of 1,000 ms; count is its record count.
 func frame(count int, records ...[]byte) []byte {
 	body := bytes.Join(records, nil)
 	out := binary.LittleEndian.AppendUint32(nil, uint32(len(body)))
@@ -29,7 +29,7 @@
 	return append(out, fields...)
 }
 
-func about(who byte) []byte { return record(codeAbout, who, 0, 0, 0) }
+func selectInstance(instance byte) []byte { return record(codeInstance, instance, 0, 0, 0) }
 
 func unhex(t testing.TB, s string) []byte {
 	t.Helper()
@@ -49,7 +49,7 @@
 func TestDecodesRequest(t *testing.T) {
 	req := unhex(t, "3804 2e000000 c4913a5d521f0000 00 00000000 640ad2557c3bf091 0000000020e6c040 0000000000002840"+
 		"00003041 0040ce43 01")
-	in, err := decode(t, frame(2, about(3), req))
+	in, err := decode(t, frame(2, selectInstance(3), req))
 	if err != nil || len(in) != 1 {
 		t.Fatalf("got %v, %v", in, err)
 	}
@@ -63,9 +63,9 @@
 	}
 }
 
-func TestDecodesAnswerNote(t *testing.T) {
+func TestDecodesOutcome(t *testing.T) {
 	ans := unhex(t, "e803 1e000000 c4913a5d521f0000 00 0a124a07 2b23 01 0000000000803240 01 8e630000 00")
-	in, err := decode(t, frame(2, about(0), ans))
+	in, err := decode(t, frame(2, selectInstance(0), ans))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -82,9 +82,9 @@
 		b[9], b[16] = 3, id
 		return b
 	}
-	inventory := func(id byte) []byte { return record(codeInventory, append([]byte{5, 1, 0, 0, 0}, entry(id)...)...) }
-	endpoints := record(codeEndpoints, 0, 0, 0, 0, 0, 0, 0, 0, 1, 5)
-	in, err := decode(t, frame(5, about(0), inventory(1), endpoints, inventory(2), endpoints))
+	inventory := func(id byte) []byte { return record(codeList, append([]byte{5, 1, 0, 0, 0}, entry(id)...)...) }
+	endpoints := record(codeListEvent, 0, 0, 0, 0, 0, 0, 0, 0, 1, 5)
+	in, err := decode(t, frame(5, selectInstance(0), inventory(1), endpoints, inventory(2), endpoints))
 	if err != nil || len(in) != 2 {
 		t.Fatalf("got %v, %v", in, err)
 	}
@@ -94,27 +94,27 @@
 }
 
 func TestUnknownRecordIsSkipped(t *testing.T) {
-	in, err := decode(t, frame(3, record(4711, 1, 2, 3), about(1), record(codeTimer, 7, 0, 0, 0, 0, 0, 0, 0)))
+	in, err := decode(t, frame(3, record(4711, 1, 2, 3), selectInstance(1), record(codeTimer, 7, 0, 0, 0, 0, 0, 0, 0)))
 	if err != nil || len(in) != 1 || in[0].Event.Token != 7 {
 		t.Errorf("got %v, %v", in, err)
 	}
 }
 
-func TestMalformedInputIsNamed(t *testing.T) {
+func TestMalformedInputIsReported(t *testing.T) {
 	timer := record(codeTimer, 1, 0, 0, 0, 0, 0, 0, 0)
 	cases := map[string]struct {
 		in   []byte
 		want string
 	}{
-		"short header":   {[]byte{1, 2}, "header is cut short"},
-		"short frame":    {frame(1, about(1))[:20], "cut short"},
-		"short fields":   {frame(2, about(1), record(codeTimer, 1)), "record 1 (code 1050) at offset 26"},
-		"long fields":    {frame(2, about(1), record(codeStop, 1)), "1 bytes too many"},
+		"short header":   {[]byte{1, 2}, "header truncated"},
+		"short frame":    {frame(1, selectInstance(1))[:20], "truncated"},
+		"short fields":   {frame(2, selectInstance(1), record(codeTimer, 1)), "record 1 (code 1050) at offset 26"},
+		"long fields":    {frame(2, selectInstance(1), record(codeStop, 1)), "1 bytes after the last field"},
 		"false size":     {frame(1, []byte{0x1a, 4, 99, 0, 0, 0}), "99 bytes stated"},
 		"no instance":    {frame(1, timer), "no instance"},
-		"missing record": {frame(3, about(1), timer), "header is cut short"},
-		"extra bytes":    {frame(1, about(1), timer), "after the last"},
-		"bad status": {frame(2, about(1), record(codeProbed, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 9, 0)),
+		"missing record": {frame(3, selectInstance(1), timer), "header truncated"},
+		"extra bytes":    {frame(1, selectInstance(1), timer), "after the last"},
+		"bad status": {frame(2, selectInstance(1), record(codePollResult, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 9, 0)),
 			"completion code 9"},
 	}
 	for name, c := range cases {
@@ -172,7 +172,7 @@
 func TestEncodesTry(t *testing.T) {
 	var e Encoder
 	e.Begin()
-	e.As(3)
+	e.SelectInstance(3)
 	e.Action(&balance.Action{Kind: balance.ActionTry, Request: 0x1f525d3a91c4, Server: 0x232b074a120a, After: 80 * time.Millisecond})
 	want := unhex(t, "26000000 6004 04000000 03000000 e803 16000000 c4913a5d521f0000 0a124a07 2b23 0000000000005440")
 	if got := e.Finish(); !bytes.Equal(got, want) {
@@ -182,9 +182,9 @@
 
 func FuzzDecoder(f *testing.F) {
 	f.Add(frame(0))
-	f.Add(frame(2, about(3), record(codeTimer, 1, 0, 0, 0, 0, 0, 0, 0)))
-	f.Add(frame(2, about(1), record(codeProbed, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 1, 1, 0, 0, 128, 63)))
-	f.Add(frame(2, about(1), record(codeInit, append([]byte{0, 0, 0, 0, 0, 0, 0, 0, 3, 0, 0, 0}, "a=b"...)...)))
+	f.Add(frame(2, selectInstance(3), record(codeTimer, 1, 0, 0, 0, 0, 0, 0, 0)))
+	f.Add(frame(2, selectInstance(1), record(codePollResult, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 1, 1, 0, 0, 128, 63)))
+	f.Add(frame(2, selectInstance(1), record(codeStart, append([]byte{0, 0, 0, 0, 0, 0, 0, 0, 3, 0, 0, 0}, "a=b"...)...)))
 	f.Fuzz(func(t *testing.T, b []byte) {
 		d := NewDecoder(bytes.NewReader(b))
 		for {
@@ -195,7 +195,7 @@
 	})
 }
 
-func TestDisconnectIsWrittenAsTheProtocolSays(t *testing.T) {
+func TestEncodesDisconnect(t *testing.T) {
 	var enc Encoder
 	enc.Begin()
 	enc.Action(&balance.Action{Kind: balance.ActionDisconnect, Server: 0x2354f211900a})
