--- a/balance/api.go
+++ b/balance/api.go
@@ -62,7 +62,7 @@
 	Target    time.Duration // answers within it earn the full Worth
 	Deadline  time.Duration // how long a client waits, over all attempts
 	Window    time.Duration // how long repeats of a keyed request are discarded
-	Bound     time.Duration // for NeedBounded
+	Bound     time.Duration // greatest age of the data for NeedBounded
 	Worth     float64       // value of an answer within Target, relative to other classes
 	LateWorth float64       // share of Worth, 0 to 1, that an answer after Target earns
 }
@@ -85,15 +85,15 @@
 	AnswerSlack   time.Duration // how long after the deadline a final answer is still accepted
 	ColdFrom      float64       // least share of its capacity, 0 to 1, that a server has at its start (slow start)
 	RampTime      time.Duration // time from its start until a server is warm; 0 if servers start warm
-	TipMultiple   float64       // a cold server with more than this multiple of its capacity in requests
-	Fall          time.Duration // for this long is overloaded and fails
+	TipMultiple   float64       // a cold server fails if sent more than this multiple of its present capacity
+	Fall          time.Duration // length of the window in which the requests for TipMultiple are counted
 	Cancel        bool          // ActionWithdraw may be used
 	Probing       bool          // ActionPoll may be used; otherwise servers count as available without polls
 	ParallelTries bool          // a request may have two attempts in flight (hedged request)
 	TryLimit      int           // most attempts of a request, the first included; below 1 counts as 1
 	RetryAfter    bool          // ActionReject may carry a delay after which to retry
 	MaxRetryAfter time.Duration // longest such delay that clients follow
-	DialTimeout   time.Duration // after it an attempt to connect ends as OutcomeConnectFailed; for the driver, not used here
+	DialTimeout   time.Duration // limit of the driver's attempts to connect, then OutcomeConnectFailed; for information
 	ListsRole     bool          // list entries show the role, with a delay; for information
 }
 
@@ -192,7 +192,7 @@
 	List       ListKind
 	Outcome    Outcome
 	Role       Role
-	Settled    bool // the request is answered
+	Settled    bool // the client has its final answer
 	Request    RequestID
 	Server     ServerID
 	Key        uint64 // the session
--- a/internal/wire/json.go
+++ b/internal/wire/json.go
@@ -61,7 +61,7 @@
 	return fmt.Sprint(x)
 }
 
-// Config returns a router's configuration. The error names the first invalid setting; absent ones have defaults.
+// Config returns a router's configuration. The error names the first invalid or missing setting.
 func (v Values) Config() (balance.Config, error) {
 	s := &settings{values: v}
 	cfg := s.config()
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -82,8 +82,8 @@
 }
 
 // Next returns the clock and the inputs of the next batch, valid until the next call. It blocks until a batch is
-// complete. The error is io.EOF at the end of input between batches; any other error names the faulty record, and
-// the Decoder must not be used after it.
+// complete. The error is io.EOF at the end of input between batches; after any other error,
+// which names the faulty record, the Decoder must not be used.
 func (d *Decoder) Next() (time.Duration, []Input, error) {
 	var head [frameHeader]byte
 	if _, err := io.ReadFull(d.r, head[:]); err != nil {
@@ -109,7 +109,7 @@
 	return now, d.inputs, err
 }
 
-// readBody reads a body piece by piece, so that a wrong size does not allocate memory for data that never arrives.
+// readBody reads a body piece by piece, so that a wrong size allocates no memory for data that never arrives.
 func (d *Decoder) readBody(size int) error {
 	const piece = 1 << 20
 	d.buf = d.buf[:0]
@@ -410,7 +410,7 @@
 }
 
 // floorSeconds and floorMillis convert a 32-bit float that was rounded to nearest, and round down: the result is never above
-// the original value.
+// the original value. Negative values give 0.
 func floorSeconds(s float32) time.Duration { return floorFloat(s, float64(time.Second)) }
 func floorMillis(ms float32) time.Duration { return floorFloat(ms, float64(time.Millisecond)) }
 
