--- a/server/admit.go
+++ b/server/admit.go
@@ -19,16 +19,16 @@
 	"umberladder/settings"
 )
 
-// front is the gate before the loop, for many goroutines. What it refuses never reaches the loop.
-type front struct {
+// frontEnd guards the admission gate for concurrent handlers. Requests that it refuses do not reach the loop.
+type frontEnd struct {
 	now func() time.Duration
 
 	mu   sync.Mutex
-	gate *admission.Gate // nil if admission is off
+	gate *admission.Gate // nil if admission control is off
 }
 
-func newFront(s *settings.Settings, seed uint64, now func() time.Duration) (*front, error) {
-	f := &front{now: now}
+func newFrontEnd(s *settings.Settings, seed uint64, now func() time.Duration) (*frontEnd, error) {
+	f := &frontEnd{now: now}
 	if !s.AdmissionOn {
 		return f, nil
 	}
@@ -40,8 +40,9 @@
 	return f, err
 }
 
-// arrive takes a request, or says what its refusal is. The ticket must come back with leave.
-func (f *front) arrive(ctx context.Context, req *pb.ExecuteRequest, class int) (*admission.Ticket, *driver.Answer) {
+// admit returns the ticket of an admitted request, which must be passed to release, or the refusal. Both are nil if
+// admission control is off.
+func (f *frontEnd) admit(ctx context.Context, req *pb.ExecuteRequest, class int) (*admission.Ticket, *driver.Answer) {
 	if f.gate == nil {
 		return nil, nil
 	}
@@ -52,11 +53,11 @@
 	if v.Why == admission.Taken {
 		return t, nil
 	}
-	push := strconv.FormatInt(v.After.Milliseconds(), 10)
+	pushback := strconv.FormatInt(v.After.Milliseconds(), 10)
 	if v.NoRetry {
-		push = "-1"
+		pushback = "-1"
 	}
-	grpc.SetTrailer(ctx, metadata.Pairs(carry.Pushback, push)) // an error only says that the call is over
+	grpc.SetTrailer(ctx, metadata.Pairs(carry.Pushback, pushback)) // an error means that the call has ended
 	return nil, &driver.Answer{Status: driver.Refused, Cause: causes[v.Why], RetryAfter: v.After}
 }
 
@@ -64,25 +65,25 @@
 	admission.Share: driver.CauseShare, admission.Worth: driver.CauseFull, admission.Late: driver.CauseLate,
 	admission.Memory: driver.CauseMemory, admission.Retried: driver.CauseRetries}
 
-// leave hands back a ticket with how its request ended.
-func (f *front) leave(t *admission.Ticket, a *driver.Answer, err error) {
+// release returns a ticket with the outcome of its request.
+func (f *frontEnd) release(t *admission.Ticket, a *driver.Answer, err error) {
 	if t == nil {
 		return
 	}
-	end := admission.Other
+	outcome := admission.Other
 	switch {
 	case a.Status == driver.Served && err == nil:
-		end = admission.Served
+		outcome = admission.Served
 	case a.Status == driver.Refused && a.Cause == driver.CauseNoNode:
-		end = admission.Refused
+		outcome = admission.Refused
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.gate.Done(f.now(), t, end)
+	f.gate.Done(f.now(), t, outcome)
 }
 
-// looped takes how long what the loop takes up had waited.
-func (f *front) looped(waited time.Duration) {
+// observeLoopDelay records how long the events that the loop handles next have waited.
+func (f *frontEnd) observeLoopDelay(waited time.Duration) {
 	if f.gate == nil {
 		return
 	}
@@ -91,8 +92,8 @@
 	f.gate.Looped(f.now(), waited)
 }
 
-// stats is what the gate has at present; empty if there is none.
-func (f *front) stats() admission.Stats {
+// stats returns the gate's current figures, or none if admission control is off.
+func (f *frontEnd) stats() admission.Stats {
 	if f.gate == nil {
 		return admission.Stats{}
 	}
@@ -101,8 +102,8 @@
 	return f.gate.Stats()
 }
 
-// clientOf names who calls: its address, and the name that it gives itself, if any. A caller that changes its name
-// with each call is many clients; its address stays in all of them.
+// clientOf returns the caller's address and the name that it gives itself, if any. A caller that changes its name
+// with each call counts as many clients, all of the same address.
 func clientOf(ctx context.Context) string {
 	host := ""
 	if p, ok := peer.FromContext(ctx); ok {
@@ -118,19 +119,20 @@
 	return host
 }
 
-// maxClientName is the longest name of a client that counts, in bytes.
+// maxClientName is the maximum length of a client's name, in bytes. Longer names are ignored.
 const maxClientName = 64
 
-// attemptOf is the number of a client's attempt, 0 for the first: as gRPC's own retries tell it, or package carry.
+// attemptOf returns the number of a client's attempt, 0 for the first, as counted by gRPC's own retries or by package
+// carry.
 func attemptOf(ctx context.Context) int {
 	md, _ := metadata.FromIncomingContext(ctx)
-	most := 0
+	highest := 0
 	for _, key := range []string{carry.AttemptKey, "grpc-previous-rpc-attempts"} {
 		for _, v := range md.Get(key) {
 			if n, err := strconv.Atoi(v); err == nil {
-				most = max(most, n)
+				highest = max(highest, n)
 			}
 		}
 	}
-	return most
+	return highest
 }
--- a/server/room_test.go
+++ b/server/answermemory_test.go
@@ -12,17 +12,17 @@
 	"umberladder/pgwire"
 )
 
-// TestRoomComesBack: answers whole and streamed, taken, let go and cut off in any order, leave the room as it was, and
-// take no more than it has.
+// TestRoomComesBack: answers, streamed or not, that are completed, dropped or aborted in any order release all their
+// memory, and never hold more than the limit.
 func TestRoomComesBack(t *testing.T) {
 	const size = 1 << 20
 	rapid.Check(t, func(t *rapid.T) {
-		of, streamed := newRoom(size), newRoom(size)
+		memory, streamed := newAnswerMemory(size), newAnswerMemory(size)
 		values := [][]byte{make([]byte, rapid.IntRange(0, 300<<10).Draw(t, "bytes"))}
 		cols := []pgwire.Column{{Name: "v", Type: pgwire.OIDText}}
 		var replies []*reply
 		for range rapid.IntRange(0, 5).Draw(t, "replies") {
-			r := &reply{cols: cols, most: size, room: of}
+			r := &reply{cols: cols, maxBytes: size, memory: memory}
 			for range rapid.IntRange(0, 6).Draw(t, "rows") {
 				r.row(values)
 			}
@@ -30,12 +30,12 @@
 		}
 		whole := int64(0)
 		for _, r := range replies {
-			if whole += r.taken; r.noRoom && (len(r.rows) > 0 || r.taken > 0) {
-				t.Fatal("an answer without room keeps rows")
+			if whole += r.reserved; r.noMemory && (len(r.rows) > 0 || r.reserved > 0) {
+				t.Fatal("an answer that got no memory keeps rows or a reservation")
 			}
 		}
 		if whole > size {
-			t.Fatalf("%d of %d bytes are taken", whole, size)
+			t.Fatalf("%d bytes are reserved, the limit is %d", whole, size)
 		}
 		var all sync.WaitGroup
 		for range rapid.IntRange(1, 4).Draw(t, "streams") {
@@ -54,8 +54,8 @@
 				for n := min(taken, sent); n > 0; n-- {
 					select {
 					case a := <-s.rowsCh:
-						s.passed(&a)
-					case <-s.full: // too many streams of long rows
+						s.rowSent(&a)
+					case <-s.full: // too many streams with long rows
 						n = 1
 					}
 				}
@@ -68,30 +68,30 @@
 		select {
 		case <-done:
 		case <-time.After(5 * time.Second):
-			t.Fatal("streams wait for each other")
+			t.Fatal("streams have not ended within 5 s: deadlock")
 		}
 		for _, r := range replies {
-			r.end()
+			r.releaseMemory()
 		}
-		for _, all := range []*semaphore.Weighted{of.all, streamed.all, streamed.leases} {
+		for _, all := range []*semaphore.Weighted{memory.budget, streamed.budget, streamed.leases} {
 			ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 			if all.Acquire(ctx, size) != nil {
-				t.Fatal("the room is not whole again")
+				t.Fatal("memory is still reserved after all answers have ended")
 			}
 			cancel()
 		}
 	})
 }
 
-// TestSlowReadersAreBounded: rows pile up before clients that take none until they reach each stream's own bound or, all
-// together, the room. Then a stream whose client reads goes on as rows are taken; a row longer than all the room does too.
+// TestSlowReadersAreBounded: rows queue up for clients that do not read until each stream's own limit or the shared
+// memory is reached. Once clients read, all streams proceed, also one with a row longer than the whole memory.
 func TestSlowReadersAreBounded(t *testing.T) {
 	const long = 32 << 10
-	of := newRoom(10 * copies * (long + 128))
+	memory := newAnswerMemory(10 * rowCopies * (long + 128))
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
-	start := func(rows int, size int) *stream {
-		s := newStream(ctx, of)
+	startStream := func(rows int, size int) *stream {
+		s := newStream(ctx, memory)
 		s.cols = []pgwire.Column{{Name: "v", Type: pgwire.OIDText}}
 		go func() {
 			for range rows {
@@ -100,56 +100,56 @@
 		}()
 		return s
 	}
-	held := func(streams ...*stream) (n int) {
+	queuedRows := func(streams ...*stream) (n int) {
 		for _, s := range streams {
 			n += len(s.rowsCh)
 		}
 		return n
 	}
-	a := start(100, long)
-	settles(t, func() bool { return held(a) == 7 })
-	b, c, d := start(100, long), start(100, long), start(100, long)
-	settles(t, func() bool { return held(a, b, c, d) >= 8 })
+	a := startStream(100, long)
+	waitUntil(t, func() bool { return queuedRows(a) == 7 })
+	b, c, d := startStream(100, long), startStream(100, long), startStream(100, long)
+	waitUntil(t, func() bool { return queuedRows(a, b, c, d) >= 8 })
 	time.Sleep(20 * time.Millisecond)
-	if n := held(a, b, c, d); n > 10 {
-		t.Errorf("%d rows are held, there is room for 10", n)
+	if n := queuedRows(a, b, c, d); n > 10 {
+		t.Errorf("%d rows are queued, there is memory for 10", n)
 	}
-	huge := start(1, int(of.size))
-	settles(t, func() bool {
-		free := of.leases.TryAcquire(1)
+	huge := startStream(1, int(memory.size))
+	waitUntil(t, func() bool {
+		free := memory.leases.TryAcquire(1)
 		if free {
-			of.leases.Release(1)
+			memory.leases.Release(1)
 		}
 		return !free
 	})
-	second := start(1, longRow+1000)
+	second := startStream(1, longRowBytes+1000)
 	select {
 	case <-second.full:
 	case <-time.After(10 * time.Second):
-		t.Error("a second stream of long rows has a lease too")
+		t.Error("a second stream with long rows got a lease too")
 	}
-	for _, s := range []*stream{a, b, c, d} { // all clients read now
+	for _, s := range []*stream{a, b, c, d} { // from here on all clients read
 		go func() {
 			for ctx.Err() == nil {
 				select {
 				case row := <-s.rowsCh:
-					s.passed(&row)
+					s.rowSent(&row)
 				case <-ctx.Done():
 				}
 			}
 		}()
 	}
-	if row := <-huge.rowsCh; len(row.row.Values[0].GetTextValue()) != int(of.size) {
-		t.Error("the longest row did not come whole")
+	if row := <-huge.rowsCh; len(row.row.Values[0].GetTextValue()) != int(memory.size) {
+		t.Error("the longest row is incomplete")
 	}
 }
 
-// settles waits until something holds.
-func settles(t *testing.T, holds func() bool) {
+// waitUntil waits until done returns true, for up to 10 s.
+func waitUntil(t *testing.T, done func() bool) {
 	t.Helper()
-	for end := time.Now().Add(10 * time.Second); !holds(); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(10 * time.Second); !done(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("it never comes to that")
+			t.Fatal("condition not met within 10 s")
 		}
 	}
 }
--- a/server/bench_test.go
+++ b/server/bench_test.go
@@ -22,7 +22,7 @@
 	"umberladder/standin"
 )
 
-// relay is a gRPC front with the driver's service and a pool of pgx before one node, and no decisions.
+// relay serves the driver's gRPC service from a pgx pool connected to one node, without any routing.
 type relay struct {
 	pb.UnimplementedDriverServer
 	pool *pgxpool.Pool
@@ -50,7 +50,7 @@
 	return res, rows.Err()
 }
 
-// target is one way to run a read.
+// target is one of the compared ways to run a read.
 type target struct {
 	name string
 	run  func(ctx context.Context) error
@@ -69,7 +69,8 @@
 	}}
 }
 
-// load runs a target by so many callers for a time and returns its rate and latencies in microseconds.
+// load runs a target with concurrent callers for a time and returns the rate per second and the latencies in
+// microseconds.
 func load(t testing.TB, target target, callers int, lasts time.Duration) (rate float64, h *hdrhistogram.Histogram) {
 	t.Helper()
 	h = hdrhistogram.New(1, 10_000_000, 3)
@@ -100,8 +101,8 @@
 	return float64(h.TotalCount()) / time.Since(begin).Seconds(), h
 }
 
-// BenchmarkAgainstRelay measures, in one run and in turn, reads through the driver, through a plain gRPC relay
-// with the same front, and by pgx straight at a node. The stand-ins do no work, so that all cost is on the way.
+// BenchmarkAgainstRelay compares, alternating in one run, reads through the driver, through a plain gRPC relay with
+// the same service, and by pgx directly at a node. The stand-in nodes do no work, so that all cost is overhead.
 //
 //	go test ./server -run '^$' -bench AgainstRelay -benchtime 1x
 func BenchmarkAgainstRelay(b *testing.B) {
@@ -110,7 +111,7 @@
 	}
 }
 
-// againstRelay measures before nodes that are asked for their place, or that tell it by parameters.
+// againstRelay measures with nodes that are queried for their facts, or that report them as parameters.
 func againstRelay(b *testing.B, params bool) {
 	cfg := standin.Config{Cores: 64, MaxConns: 1000, ColdFrom: 1, Ramp: time.Second, Params: params}
 	f, err := lab.NewFleet(lab.Spec{Slices: 1, Members: 3, Drivers: 1, Node: cfg, Extra: "pool size 256\n"})
@@ -148,7 +149,7 @@
 					load(b, t, callers, 300*time.Millisecond)
 				}
 				const rounds = 4
-				for range rounds { // in turn, so that the machine's moods strike all alike
+				for range rounds { // alternating, so that changes of the machine's load affect all alike
 					for _, t := range targets {
 						rate, h := load(b, t, callers, 700*time.Millisecond)
 						rates[t.name] += rate / rounds
@@ -168,8 +169,8 @@
 	}
 }
 
-// BenchmarkRefusal compares, in one run, calls that are served with calls refused at the door, by CPU of the whole process:
-// client, driver and stand-in.
+// BenchmarkRefusal compares, in one run, served calls with calls refused at admission, by CPU time of the whole
+// process: client, driver and stand-in.
 //
 //	go test ./server -run '^$' -bench Refusal -benchtime 1x
 func BenchmarkRefusal(b *testing.B) {
@@ -181,7 +182,7 @@
 	defer f.Close()
 	ctx, cancel := context.WithCancel(b.Context())
 	defer cancel()
-	stream, err := f.Drivers[0].Client().ExecuteStream(ctx, seriesReq(1<<40)) // takes the only place for as long as the test wants
+	stream, err := f.Drivers[0].Client().ExecuteStream(ctx, seriesReq(1<<40)) // occupies the only admission slot
 	if err != nil {
 		b.Fatal(err)
 	}
--- a/server/calls.go
+++ b/server/calls.go
@@ -8,35 +8,36 @@
 	pb "umberladder/proto/umberladder/v1"
 )
 
-// call is one client's call while it has no final answer.
+// call is a client's call that waits for its final answer.
 type call struct {
-	st     statement
-	most   int             // bytes of a whole result
-	ctx    context.Context // of a call that wants its rows as they come; nil for one that wants them whole
-	opened chan opening
-	from   *stream // whose rows the handler passes on
-	final  chan driver.Answer
+	stmt           statement
+	maxResultBytes int             // bytes of an unstreamed result
+	ctx            context.Context // for a streamed answer; nil otherwise
+	opened         chan opening
+	stream         *stream // source of the rows that the handler forwards
+	final          chan driver.Answer
 }
 
-// passing hands on how a streamed answer begins, or a row of it.
-type passing func(*opening, *pb.Row, func()) error
+// forwardFunc forwards the opening of a streamed answer, or one of its rows, to the client. The function that it gets
+// is called when the row was sent.
+type forwardFunc func(*opening, *pb.Row, func()) error
 
-// take passes a row on. What it takes up is given back once it was sent.
-func (c *call) take(row *aheadRow, pass passing) error {
-	from := c.from
-	return pass(nil, row.row, func() { from.passed(row) })
+// forwardRow forwards a row and releases its memory once it was sent.
+func (c *call) forwardRow(row *queuedRow, forward forwardFunc) error {
+	from := c.stream
+	return forward(nil, row.row, func() { from.rowSent(row) })
 }
 
-// opening is how a streamed answer begins. Its rows are those of one attempt.
+// opening is the start of a streamed answer. All rows of an answer are from one attempt.
 type opening struct {
 	answer driver.Answer
 	stream *stream
 }
 
-// callTable finds calls by their request. Handlers add, the loop answers.
+// callTable maps requests to pending calls. Handlers add calls, the loop answers them.
 type callTable struct{ waiting.Table[*call] }
 
-// answer hands over the final answer; the channels hold one each, so it never blocks.
+// answer delivers the final answer. It does not block, as each call has buffered channels.
 func (t *callTable) answer(id driver.RequestID, a driver.Answer) {
 	if c := t.Drop(id); c != nil {
 		c.final <- a
@@ -50,7 +51,7 @@
 	}
 }
 
-// failAll ends every call without a promise: the loop is gone.
+// failAll answers every pending call as failed, because the loop has stopped.
 func (t *callTable) failAll() {
 	for _, c := range t.End() {
 		c.final <- driver.Answer{Status: driver.Failed, Cause: driver.CauseStopping}
--- a/server/conn.go
+++ b/server/conn.go
@@ -17,25 +17,26 @@
 	"umberladder/pgwire"
 )
 
-// login is how connections present themselves to db nodes.
+// login holds what connections use to log in to database nodes.
 type login struct {
 	user, password, database string
 	maxMessage               int
-	history                  bool            // polls ask where timelines began
-	buffers                  *pgwire.Buffers // shared by connections that wait
+	history                  bool            // polls ask for the timeline history
+	buffers                  *pgwire.Buffers // shared by idle connections
 }
 
-// job is one exchange for a connection to carry out.
+// job is one exchange to be carried out on a connection.
 type job struct {
 	kind   exchangeKind
-	st     *statement
-	guard  driver.Guard // of a write
+	stmt   *statement
+	guard  driver.Guard // for a write
 	sink   rowSink
-	stream *stream // nil unless its rows go out as they come
+	stream *stream // nil unless the answer is streamed
 }
 
-// conn is one connection to a db node. A goroutine of its own opens it and reads; the loop writes. It tells the loop what happens, each
-// exchange exactly one result, and after its last word (closed, or a broken result) nothing more.
+// conn is one connection to a database node. Its goroutine opens it and reads; the loop writes. It reports events to
+// the loop: exactly one result for each exchange, and nothing after its last event (EventClosed, a failed dial, or a
+// result with EndBroken or EndNotSent).
 type conn struct {
 	id      driver.ConnID
 	address string
@@ -43,19 +44,19 @@
 	cancel  context.CancelFunc
 	ctx     context.Context
 	warn    func(format string, args ...any)
-	stream  *stream // the loop's: where the rows of the present exchange go, nil unless streamed
+	stream  *stream // receives the rows of the current exchange, nil unless streamed; owned by the loop
 
-	writes sync.WaitGroup // of what a socket did not take at once
+	writes sync.WaitGroup // pending writes that the socket did not accept at once
 
-	mu       sync.Mutex
-	nc       *sock.Socket // nil while it opens
-	out      job          // what is awaited
-	awaits   bool         // whether anything is
-	ended    bool
-	unsent   bool // not a byte of out was taken by the system
-	secret   pgwire.Cancel
-	byParams bool
-	system   uint64 // the reader's: the cluster, as it was told on this connection
+	mu         sync.Mutex
+	nc         *sock.Socket // nil until the connection is open
+	pending    job          // exchange whose answer is pending, if hasPending
+	hasPending bool
+	ended      bool
+	unsent     bool // no byte of pending was accepted by the system
+	cancelKey  pgwire.Cancel
+	byParams   bool
+	systemID   uint64 // system identifier of the cluster as reported on this connection; owned by the reader
 }
 
 func newConn(ctx context.Context, id driver.ConnID, address string, in *inbox.Inbox[driver.Event], warn func(string, ...any)) *conn {
@@ -64,54 +65,53 @@
 	return c
 }
 
-// dial opens the connection. It returns no error: whatever ends a connection is told to the loop, which goes on without
-// it. What is nil has ended; else run must follow, in a goroutine of its own, as what it takes to dial and to log in
-// leaves a large stack.
-func (c *conn) dial(l *login) *reading {
+// dial opens the connection and reports the outcome to the loop. It returns nil if that failed. Otherwise run must
+// follow in a new goroutine, because dialing and logging in leave a large stack.
+func (c *conn) dial(l *login) *readState {
 	nc, err := (&net.Dialer{}).DialContext(c.ctx, "tcp", c.address)
 	if err != nil {
 		c.cancel()
-		c.tell(driver.Event{Kind: driver.EventDialed, Conn: c.id, Dial: &driver.DialError{Err: err}})
+		c.report(driver.Event{Kind: driver.EventDialed, Conn: c.id, Dial: &driver.DialError{Err: err}})
 		return nil
 	}
 	s := sock.New(nc)
-	rd := &reading{r: pgwire.NewPatientReader(s, l.buffers, l.maxMessage), params: map[string]string{}}
+	rd := &readState{r: pgwire.NewPatientReader(s, l.buffers, l.maxMessage), params: map[string]string{}}
 	rd.stop = context.AfterFunc(c.ctx, func() { nc.Close() })
-	if failure := c.open(s, rd.r, l, rd.params); failure != nil {
+	if failure := c.startup(s, rd.r, l, rd.params); failure != nil {
 		rd.stop()
 		c.cancel()
 		nc.Close()
-		c.tell(driver.Event{Kind: driver.EventDialed, Conn: c.id, Dial: failure})
+		c.report(driver.Event{Kind: driver.EventDialed, Conn: c.id, Dial: failure})
 		return nil
 	}
-	rd.r.BeforeLong(c.reserve)
+	rd.r.BeforeLong(c.reserveRow)
 	c.mu.Lock()
 	c.nc = s
 	c.mu.Unlock()
-	c.tell(driver.Event{Kind: driver.EventDialed, Conn: c.id})
+	c.report(driver.Event{Kind: driver.EventDialed, Conn: c.id})
 	return rd
 }
 
-// reading is what a connection's goroutine holds.
-type reading struct {
+// readState holds the state of a connection's reader goroutine.
+type readState struct {
 	r      *pgwire.Reader
 	params map[string]string
 	stop   func() bool
 }
 
-// run follows the connection to its end.
-func (c *conn) run(rd *reading) {
-	c.finish(c.read(rd.r, rd.params))
+// run reads from the connection until it ends, then closes it.
+func (c *conn) run(rd *readState) {
+	c.reportEnd(c.read(rd.r, rd.params))
 	rd.stop()
 	c.cancel()
 	c.nc.Close()
 	c.writes.Wait()
 }
 
-func (c *conn) tell(ev driver.Event) { c.inbox.Put(ev) }
+func (c *conn) report(ev driver.Event) { c.inbox.Put(ev) }
 
-// open goes through startup and authentication and prepares the question for facts.
-func (c *conn) open(nc net.Conn, r *pgwire.Reader, l *login, params map[string]string) *driver.DialError {
+// startup logs in and prepares the statements for facts and guard.
+func (c *conn) startup(nc net.Conn, r *pgwire.Reader, l *login, params map[string]string) *driver.DialError {
 	auth := pgwire.NewAuthenticator(l.user, l.password)
 	b := pgwire.AppendStartup(nil, map[string]string{"user": l.user, "database": l.database,
 		"application_name": "umberladder", "client_encoding": "UTF8", "bytea_output": "hex", "DateStyle": "ISO",
@@ -126,7 +126,7 @@
 		b = b[:0]
 		typ, body, err := r.Next()
 		if err != nil {
-			return &driver.DialError{Err: fmt.Errorf("while it opened: %w", err)}
+			return &driver.DialError{Err: fmt.Errorf("while opening the connection: %w", err)}
 		}
 		switch typ {
 		case pgwire.MsgAuthentication:
@@ -135,15 +135,15 @@
 				b, _, err = auth.Answer(b, req)
 			}
 		case pgwire.MsgParameterStatus:
-			err = takeParam(params, body)
+			err = storeParam(params, body)
 		case pgwire.MsgBackendKeyData:
 			var secret pgwire.Cancel
 			secret, err = pgwire.ParseBackendKeyData(body)
 			c.mu.Lock()
-			c.secret = secret
+			c.cancelKey = secret
 			c.mu.Unlock()
 		case pgwire.MsgErrorResponse:
-			return dialFault(body)
+			return startupError(body)
 		case pgwire.MsgNoticeResponse, pgwire.MsgParseComplete, pgwire.MsgNegotiateVersion:
 		case pgwire.MsgReadyForQuery:
 			if prepared {
@@ -151,11 +151,11 @@
 			}
 			prepared = true
 			if c.byParams = factsOfParams(params).Known; !c.byParams {
-				b = pgwire.AppendParse(pgwire.AppendParse(b, factsName, factsSQL, nil), askName, askSQL(l.history), nil)
+				b = pgwire.AppendParse(pgwire.AppendParse(b, factsStatement, factsSQL, nil), pollStatement, pollSQL(l.history), nil)
 			}
-			b = pgwire.AppendSync(pgwire.AppendParse(b, guardName, guardSQL, nil))
+			b = pgwire.AppendSync(pgwire.AppendParse(b, guardStatement, guardSQL, nil))
 		default:
-			err = fmt.Errorf("message %q while it opened", typ)
+			err = fmt.Errorf("message %q while opening the connection", typ)
 		}
 		if err != nil {
 			return &driver.DialError{Err: err}
@@ -163,7 +163,7 @@
 	}
 }
 
-func dialFault(body []byte) *driver.DialError {
+func startupError(body []byte) *driver.DialError {
 	e, err := pgwire.ParseError(pgwire.MsgErrorResponse, body)
 	if err != nil {
 		return &driver.DialError{Err: err}
@@ -171,35 +171,35 @@
 	return &driver.DialError{Full: driver.Judge(&driver.Result{Err: e}).Outcome == balance.OutcomeFull, Err: e}
 }
 
-// start sends an exchange. The loop calls it, so it makes one attempt that can't block; what the socket does
-// not take at once goes out in a goroutine of its own. On a connection that has ended it does nothing: the
-// loop hears, or has heard, that it closed before this went out.
+// startExchange sends an exchange. The loop calls it, so it makes one non-blocking write; a goroutine writes what the
+// socket does not accept at once. On a connection that has ended it does nothing, as the loop is notified of the end
+// anyway.
 //
-// The words are the loop's room to put the exchange together, given back for the next one.
-func (c *conn) start(j job, words []byte) []byte {
+// It encodes the exchange in buf and returns the buffer for the next one.
+func (c *conn) startExchange(j job, buf []byte) []byte {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.ended || c.nc == nil {
-		return words
+		return buf
 	}
-	c.out, c.awaits = j, true
-	words = appendExchange(words[:0], j.kind, c.byParams, j.st, j.guard)
-	n, err := c.nc.TryWrite(words)
+	c.pending, c.hasPending = j, true
+	buf = appendExchange(buf[:0], j.kind, c.byParams, j.stmt, j.guard)
+	n, err := c.nc.TryWrite(buf)
 	switch {
 	case err != nil:
 		c.unsent = n == 0
-		c.nc.Close() // the reader tells the loop
-	case n < len(words):
-		c.rest(append([]byte(nil), words[n:]...), n == 0)
+		c.nc.Close() // the reader then fails and reports to the loop
+	case n < len(buf):
+		c.writeRemaining(append([]byte(nil), buf[n:]...), n == 0)
 	}
-	if cap(words) > 1<<16 {
-		return nil // one long statement must not keep its memory for good
+	if cap(buf) > 1<<16 {
+		return nil // do not retain the memory of a long statement
 	}
-	return words
+	return buf
 }
 
-// rest sends what is left of an exchange, waiting for the socket.
-func (c *conn) rest(b []byte, first bool) {
+// writeRemaining writes the rest of an exchange in a goroutine, which may block.
+func (c *conn) writeRemaining(b []byte, first bool) {
 	c.writes.Go(func() {
 		if n, err := c.nc.Write(b); err != nil {
 			c.mu.Lock()
@@ -210,7 +210,7 @@
 	})
 }
 
-// read follows the node's messages until the connection ends, and returns why it did.
+// read handles messages until the connection ends, and returns the unfinished exchange, if any, and the cause.
 func (c *conn) read(r *pgwire.Reader, params map[string]string) (*exchange, error) {
 	var x *exchange
 	for {
@@ -219,63 +219,63 @@
 			return x, err
 		}
 		if x == nil {
-			j, ok := c.awaited()
+			j, ok := c.pendingJob()
 			if !ok {
-				if err := idleMessage(typ, body, params); err != nil {
+				if err := handleIdleMessage(typ, body, params); err != nil {
 					return nil, err
 				}
 				continue
 			}
 			x = newExchange(j.kind, c.byParams, params, j.sink)
-			x.system = c.system
+			x.systemID = c.systemID
 		}
-		done, err := x.take(typ, body)
+		done, err := x.handle(typ, body)
 		if err != nil {
 			return x, err
 		}
-		if x.opens {
-			if err := c.begin(x); err != nil {
+		if x.columnsRead {
+			if err := c.awaitOpen(x); err != nil {
 				return x, err
 			}
 		}
 		if done {
-			spoilt := x.spoilt
-			c.system = x.system
+			unusable := x.unusable
+			c.systemID = x.systemID
 			c.mu.Lock()
-			c.out, c.awaits = job{}, false
-			c.ended = spoilt != ""
+			c.pending, c.hasPending = job{}, false
+			c.ended = unusable != ""
 			c.mu.Unlock()
-			c.tell(driver.Event{Kind: driver.EventResult, Conn: c.id, Result: x.closing(driver.EndAnswered)})
+			c.report(driver.Event{Kind: driver.EventResult, Conn: c.id, Result: x.resultWith(driver.EndAnswered)})
 			x = nil
-			if spoilt != "" {
-				c.tell(driver.Event{Kind: driver.EventClosed, Conn: c.id})
+			if unusable != "" {
+				c.report(driver.Event{Kind: driver.EventClosed, Conn: c.id})
 				return nil, nil
 			}
 		}
 	}
 }
 
-func (c *conn) awaited() (job, bool) {
+func (c *conn) pendingJob() (job, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.out, c.awaits
+	return c.pending, c.hasPending
 }
 
-// reserve takes room for a long row of a streamed answer before it is read.
-func (c *conn) reserve(n int) error {
-	if j, _ := c.awaited(); j.stream != nil {
+// reserveRow reserves memory for a long row of a streamed answer before it is read.
+func (c *conn) reserveRow(n int) error {
+	if j, _ := c.pendingJob(); j.stream != nil {
 		return j.stream.reserve(int64(n))
 	}
 	return nil
 }
 
-// idleMessage takes what a node may say unasked.
-func idleMessage(typ byte, body []byte, params map[string]string) error {
+// handleIdleMessage handles a message that arrives between exchanges.
+func handleIdleMessage(typ byte, body []byte, params map[string]string) error {
 	switch typ {
 	case pgwire.MsgNoticeResponse, pgwire.MsgNotificationResponse:
 		return nil
 	case pgwire.MsgParameterStatus:
-		return takeParam(params, body)
+		return storeParam(params, body)
 	case pgwire.MsgErrorResponse:
 		e, err := pgwire.ParseError(typ, body)
 		if err != nil {
@@ -283,16 +283,16 @@
 		}
 		return e
 	}
-	return fmt.Errorf("message %q though nothing was asked", typ)
+	return fmt.Errorf("message %q though nothing was asked of the node", typ)
 }
 
-// begin asks the loop whether a streamed answer may go to its client, and waits for the word.
-func (c *conn) begin(x *exchange) error {
-	j, _ := c.awaited()
+// awaitOpen asks the loop whether a streamed answer may go to its client, and waits until the loop permits it.
+func (c *conn) awaitOpen(x *exchange) error {
+	j, _ := c.pendingJob()
 	if j.stream == nil {
 		return nil
 	}
-	c.tell(driver.Event{Kind: driver.EventOpened, Conn: c.id, Result: x.result})
+	c.report(driver.Event{Kind: driver.EventOpened, Conn: c.id, Result: x.result})
 	select {
 	case <-j.stream.opened:
 		return nil
@@ -301,65 +301,65 @@
 	}
 }
 
-// closing is the result of an exchange with how it ended.
-func (x *exchange) closing(end driver.End) driver.Result {
+// resultWith returns the exchange's result with the given end, and stores the statement's error in its sink.
+func (x *exchange) resultWith(end driver.End) driver.Result {
 	r := x.result
 	r.End = end
 	switch sink := x.sink.(type) {
 	case *reply:
-		sink.fault = r.Err
-		sink.end()
+		sink.sqlError = r.Err
+		sink.releaseMemory()
 	case *stream:
-		sink.fault = r.Err
+		sink.sqlError = r.Err
 	}
 	r.Payload = x.sink
 	return r
 }
 
-// finish is the connection's last word.
-func (c *conn) finish(x *exchange, err error) {
+// reportEnd reports the connection's last event.
+func (c *conn) reportEnd(x *exchange, err error) {
 	c.mu.Lock()
-	already, awaits, unsent := c.ended, c.awaits, c.unsent
+	already, hasPending, unsent := c.ended, c.hasPending, c.unsent
 	c.ended = true
 	c.mu.Unlock()
 	if already {
 		return
 	}
 	if err != nil && !errors.Is(err, io.EOF) && !errors.Is(err, net.ErrClosed) && c.ctx.Err() == nil {
-		c.warn("connection broke off: %v", err)
+		c.warn("connection lost: %v", err)
 	}
 	switch {
-	case !awaits:
-		c.tell(driver.Event{Kind: driver.EventClosed, Conn: c.id})
+	case !hasPending:
+		c.report(driver.Event{Kind: driver.EventClosed, Conn: c.id})
 	case x == nil:
 		end := driver.EndBroken
 		if unsent {
 			end = driver.EndNotSent
 		}
-		c.tell(driver.Event{Kind: driver.EventResult, Conn: c.id, Result: driver.Result{End: end}})
+		c.report(driver.Event{Kind: driver.EventResult, Conn: c.id, Result: driver.Result{End: end}})
 	default:
-		c.tell(driver.Event{Kind: driver.EventResult, Conn: c.id, Result: x.closing(driver.EndBroken)})
+		c.report(driver.Event{Kind: driver.EventResult, Conn: c.id, Result: x.resultWith(driver.EndBroken)})
 	}
 }
 
-// cancelWork asks the node, on a connection of its own, to end what this one runs.
+// cancelWork sends a cancel request for the running statement, on a separate connection.
 func (c *conn) cancelWork(timeout time.Duration) {
 	c.mu.Lock()
-	secret := c.secret
+	secret := c.cancelKey
 	c.mu.Unlock()
 	if secret == (pgwire.Cancel{}) {
 		return
 	}
 	nc, err := (&net.Dialer{Timeout: timeout}).DialContext(c.ctx, "tcp", c.address)
 	if err != nil {
-		return // the work goes on; its connection is not used again either way
+		return // the statement goes on; its connection is not used again in any case
 	}
 	defer nc.Close()
 	nc.SetDeadline(time.Now().Add(timeout))
 	if _, err := nc.Write(pgwire.AppendCancel(nil, secret.PID, secret.Key)); err == nil {
-		io.Copy(io.Discard, nc) // the node closes once it has passed the wish on
+		io.Copy(io.Discard, nc) // the node closes the connection once it has forwarded the request
 	}
 }
 
-// plainText tells whether a text can be sent as a value or statement: zero bytes end it in the protocol.
-func plainText(s string) bool { return strings.IndexByte(s, 0) < 0 }
+// encodable reports whether a text can be sent as a value or statement: the protocol ends strings at a zero byte.
+func encodable(s string) bool { return strings.IndexByte(s, 0) < 0 }
--- a/server/control.go
+++ b/server/control.go
@@ -14,8 +14,9 @@
 	"umberladder/driver"
 )
 
-// control serves what operators ask and say on a socket that only its owner may use.
-func (s *Server) control(ctx context.Context, all *errgroup.Group) (stop func(), err error) {
+// control serves the operators' HTTP interface on a Unix socket that only its owner can use. The returned function
+// stops it.
+func (s *Server) control(ctx context.Context, tasks *errgroup.Group) (stop func(), err error) {
 	path := s.settings.Control
 	if path == "" {
 		return func() {}, nil
@@ -24,7 +25,7 @@
 		c.Close()
 		return func() {}, errors.New(path + " is in use by another driver")
 	}
-	os.Remove(path) // left by one that was killed
+	os.Remove(path) // left by a driver that was killed
 	l, err := net.Listen("unix", path)
 	if err != nil {
 		return func() {}, err
@@ -34,26 +35,27 @@
 		return func() {}, err
 	}
 	mux := http.NewServeMux()
-	if s.follow != nil {
-		s.follow.routes(ctx, mux)
+	if s.follower != nil {
+		s.follower.routes(ctx, mux)
 	}
 	s.topologyRoutes(mux)
-	web := &http.Server{Handler: mux, ReadHeaderTimeout: 5 * time.Second}
-	all.Go(func() error {
-		if err := web.Serve(l); !errors.Is(err, http.ErrServerClosed) {
+	httpServer := &http.Server{Handler: mux, ReadHeaderTimeout: 5 * time.Second}
+	tasks.Go(func() error {
+		if err := httpServer.Serve(l); !errors.Is(err, http.ErrServerClosed) {
 			return err
 		}
 		return nil
 	})
-	return func() { web.Close() }, nil
+	return func() { httpServer.Close() }, nil
 }
 
-// Topology is what the control socket tells of slices.
+// Topology is the state of all slices as the control socket returns it.
 type Topology struct {
 	Slices []TopologySlice `json:"slices"`
 }
 
-// TopologySlice is a slice: its present term and by what evidence, what each node told last, and the changes.
+// TopologySlice is a slice's current term with the evidence for it, the last report of each node, and the recorded
+// changes.
 type TopologySlice struct {
 	Name    string           `json:"name"`
 	Term    uint32           `json:"term"`
@@ -65,7 +67,7 @@
 	History []TopologyRecord `json:"history,omitempty"`
 }
 
-// TopologyNode is what a node told last. Ages are in seconds.
+// TopologyNode is the last report of a node. Age is in seconds.
 type TopologyNode struct {
 	Name     string  `json:"name"`
 	Standing string  `json:"standing"`
@@ -78,7 +80,7 @@
 	Fenced   bool    `json:"fenced,omitempty"`
 }
 
-// TopologyRecord is a change, with the claim that brought it.
+// TopologyRecord is a change with the report that caused it.
 type TopologyRecord struct {
 	Number   uint64    `json:"number"`
 	At       time.Time `json:"at"`
@@ -91,19 +93,19 @@
 }
 
 func (s *Server) topologyRoutes(mux *http.ServeMux) {
-	mux.HandleFunc("GET /topology", func(w http.ResponseWriter, r *http.Request) { s.tellTopology(w, r) })
-	act := func(do func(e *driver.Engine, name string) error) http.HandlerFunc {
+	mux.HandleFunc("GET /topology", func(w http.ResponseWriter, r *http.Request) { s.handleTopology(w, r) })
+	command := func(apply func(e *driver.Engine, name string) error) http.HandlerFunc {
 		return func(w http.ResponseWriter, r *http.Request) {
-			// The order and the view of what it left behind are one look: nodes answer between two.
+			// The command and the view of its result share one engine call: between two calls nodes may report.
 			var err error
 			var views []driver.SliceView
-			gone := s.loop.look(r.Context(), func(e *driver.Engine) {
-				if err = do(e, r.PathValue("name")); err == nil {
+			stopErr := s.loop.withEngine(r.Context(), func(e *driver.Engine) {
+				if err = apply(e, r.PathValue("name")); err == nil {
 					views = e.Ledgers()
 				}
 			})
 			switch {
-			case gone != nil:
+			case stopErr != nil:
 				http.Error(w, "the driver is stopping", http.StatusServiceUnavailable)
 			case err != nil:
 				http.Error(w, err.Error(), http.StatusNotFound)
@@ -112,14 +114,14 @@
 			}
 		}
 	}
-	mux.HandleFunc("POST /topology/fence/{name}", act(func(e *driver.Engine, name string) error { return e.Fence(name, true) }))
-	mux.HandleFunc("POST /topology/unfence/{name}", act(func(e *driver.Engine, name string) error { return e.Fence(name, false) }))
-	mux.HandleFunc("POST /topology/forget/{name}", act(func(e *driver.Engine, name string) error { return e.Forget(name) }))
+	mux.HandleFunc("POST /topology/fence/{name}", command(func(e *driver.Engine, name string) error { return e.Fence(name, true) }))
+	mux.HandleFunc("POST /topology/unfence/{name}", command(func(e *driver.Engine, name string) error { return e.Fence(name, false) }))
+	mux.HandleFunc("POST /topology/forget/{name}", command(func(e *driver.Engine, name string) error { return e.Forget(name) }))
 }
 
-func (s *Server) tellTopology(w http.ResponseWriter, r *http.Request) {
+func (s *Server) handleTopology(w http.ResponseWriter, r *http.Request) {
 	var views []driver.SliceView
-	if err := s.loop.look(r.Context(), func(e *driver.Engine) { views = e.Ledgers() }); err != nil {
+	if err := s.loop.withEngine(r.Context(), func(e *driver.Engine) { views = e.Ledgers() }); err != nil {
 		http.Error(w, "the driver is stopping", http.StatusServiceUnavailable)
 		return
 	}
--- a/server/facts.go
+++ b/server/facts.go
@@ -9,23 +9,25 @@
 	"umberladder/position"
 )
 
-// factsName is the prepared statement that asks a node for its role and position.
-const factsName = "umberladder_facts"
+// factsStatement is the prepared statement that queries a node's role and position.
+const factsStatement = "umberladder_facts"
 
-// askName is the one that polls use. It asks for more.
-const askName = "umberladder_ask"
+// pollStatement is the prepared statement of polls, which queries more than factsStatement.
+const pollStatement = "umberladder_ask"
 
-// askSQL asks beside the facts for the standbys that follow, and, if history is set, for the history of the present
-// timeline. That one wants pg_read_server_files; without pg_monitor the standbys are not told.
-func askSQL(history bool) string {
-	past := "NULL"
+// pollSQL queries, beside the facts, the connected standbys, the system identifier, a replica's upstream and, if
+// history is set, the history of the current timeline. The history needs the role pg_read_server_files; without
+// pg_monitor the standbys are missing.
+func pollSQL(history bool) string {
+	historyColumn := "NULL"
 	if history {
-		past = pastSQL
+		historyColumn = historySQL
 	}
-	return factsSQL + ", " + past + ", " + standbysSQL + ", " + systemSQL + ", " + upstreamSQL
+	return factsSQL + ", " + historyColumn + ", " + standbysSQL + ", " + systemSQL + ", " + upstreamSQL
 }
 
-// systemSQL is the cluster that the node is of; upstreamSQL whom a replica receives its log from.
+// systemSQL queries the identifier of the node's cluster; upstreamSQL the host and port from which a replica receives
+// its log.
 const (
 	systemSQL   = `(SELECT system_identifier FROM pg_control_system())`
 	upstreamSQL = `(SELECT sender_host || ':' || sender_port FROM pg_stat_wal_receiver WHERE status = 'streaming')`
@@ -33,19 +35,19 @@
 
 const standbysSQL = `(SELECT string_agg(host(client_addr) || ' ' || application_name, ',') FROM pg_stat_replication WHERE client_addr IS NOT NULL)`
 
-const pastSQL = `pg_read_file('pg_wal/' || lpad(to_hex(
+const historySQL = `pg_read_file('pg_wal/' || lpad(to_hex(
  CASE WHEN pg_is_in_recovery()
   THEN coalesce((SELECT received_tli FROM pg_stat_wal_receiver), (SELECT timeline_id FROM pg_control_checkpoint()))
   ELSE ('x' || substr(pg_walfile_name(pg_current_wal_lsn()), 1, 8))::bit(32)::int END), 8, '0') || '.history', true)`
 
-// factsSQL asks an unmodified server whether it is in recovery, where it stands in the log and on which
-// timeline, which transactions are over, how much log a replica has received, and how transactions are isolated.
+// factsSQL queries an unmodified server for whether it is in recovery, its log position and timeline, the finished
+// transactions, how much log a replica has received, and the isolation of transactions.
 //
-// A primary tells the end of what was put into the log, written or not: commits with synchronous_commit off show
-// before they are written. It tells its timeline by the name of its present log file; a replica by what it
-// receives, or, while it receives nothing, by its last restart point. The snapshot
-// tells which transactions are over: a replica may show a commit before its primary has ended the transaction. The
-// log received is asked for after the place replayed, so that what is being replayed counts as received.
+// A primary reports the insert position of its log, written or not, because commits with synchronous_commit off are
+// visible before they are written. Its timeline is part of the name of its current log file. A replica's timeline is
+// the one it receives or, while it receives nothing, that of its last restart point. The snapshot shows which
+// transactions are finished: a replica may show a commit before its primary has ended the transaction. The received
+// position is queried after the replayed one, so that a record being replayed counts as received.
 const factsSQL = `SELECT pg_is_in_recovery(),
  CASE WHEN pg_is_in_recovery() THEN pg_last_wal_replay_lsn() ELSE pg_current_wal_insert_lsn() END,
  CASE WHEN pg_is_in_recovery()
@@ -55,14 +57,14 @@
  CASE WHEN pg_is_in_recovery() THEN pg_last_wal_receive_lsn() END, current_setting('transaction_isolation'),
  (extract(epoch FROM clock_timestamp()) * 1000000)::bigint`
 
-// isolation is how transactions on a connection must be isolated; it is asked for when the connection opens, which
-// overrides what role, database and server say, and told with every answer.
+// isolation is the required isolation level of transactions. It is set when a connection opens, which overrides the
+// settings of role, database and server, and reported with every answer.
 const isolation = "read committed"
 
-// Parameters by which a node may tell the same without being asked, with every ReadyForQuery that follows a
-// change. PostgreSQL reports the first by itself; the others take an extension that marks them for reports: the
-// timeline and place replayed or written as TIMELINE:LSN, the snapshot of factsSQL, and
-// for a replica the end of the record being replayed or, if that is not known, of the log received.
+// Parameters in which a node may report the same facts unasked, with every ReadyForQuery after a change. PostgreSQL
+// reports the first by itself; the others need an extension that marks them for reporting: timeline and replayed or
+// written position as TIMELINE:LSN, the snapshot of factsSQL, and for a replica the end of the record being replayed
+// or, if unknown, of the received log.
 const (
 	paramStandby  = "in_hot_standby"
 	paramPosition = "umberladder.position"
@@ -70,7 +72,7 @@
 	paramReceived = "umberladder.received"
 )
 
-// Columns of the row that factsSQL brings; historySQL adds one more.
+// Columns of the row that factsSQL returns; pollSQL adds the last four.
 const (
 	colReplica = iota
 	colLSN
@@ -84,18 +86,18 @@
 	colStandbys = factsColumns + 1
 	colSystem   = factsColumns + 2
 	colUpstream = factsColumns + 3
-	askColumns  = factsColumns + 4
+	pollColumns = factsColumns + 4
 )
 
-// parseFacts reads the row that factsSQL or askSQL brings.
+// parseFacts parses the row that factsSQL or pollSQL returns.
 func parseFacts(row [][]byte) (f driver.Facts, err error) {
-	if len(row) == askColumns {
+	if len(row) == pollColumns {
 		if f.Forks, err = parseHistory(string(row[colHistory])); err != nil {
 			return f, err
 		}
 		f.Standbys = strings.FieldsFunc(string(row[colStandbys]), func(r rune) bool { return r == ',' })
 		f.Upstream = string(row[colUpstream])
-		if f.System, err = number(row[colSystem], "system identifier"); err != nil {
+		if f.System, err = parseNumber(row[colSystem], "system identifier"); err != nil {
 			return f, err
 		}
 		row = row[:factsColumns]
@@ -106,13 +108,13 @@
 	if got := string(row[colIsolation]); got != isolation {
 		return f, fmt.Errorf("its transactions are %s, not %s: a statement changed default_transaction_isolation", got, isolation)
 	}
-	clock, err := number(row[colClock], "clock")
+	clock, err := parseNumber(row[colClock], "clock")
 	if err != nil {
 		return f, err
 	}
 	f.Known, f.Replica, f.Clock = true, string(row[colReplica]) == "t", int64(clock)
 	if row[colLSN] == nil || row[colTimeline] == nil {
-		return f, nil // a replica that has replayed nothing yet stands nowhere
+		return f, nil // a replica that has replayed nothing yet has no position
 	}
 	timeline, err := strconv.ParseUint(string(row[colTimeline]), 10, 32)
 	if err != nil {
@@ -122,11 +124,11 @@
 	if f.Position.LSN, err = position.ParseLSN(string(row[colLSN])); err != nil {
 		return f, err
 	}
-	return f, takeVisible(&f, string(row[colSnapshot]), string(row[colReceived]))
+	return f, parseVisibility(&f, string(row[colSnapshot]), string(row[colReceived]))
 }
 
-// number reads a value that may be NULL, which counts as 0.
-func number(value []byte, what string) (uint64, error) {
+// parseNumber parses a value that may be NULL, which counts as 0.
+func parseNumber(value []byte, what string) (uint64, error) {
 	if value == nil {
 		return 0, nil
 	}
@@ -137,7 +139,7 @@
 	return v, nil
 }
 
-// parseHistory reads a timeline history file: a line for each older timeline with the place at which it was left.
+// parseHistory parses a timeline history file: one line for each older timeline with the position at which it ended.
 func parseHistory(text string) (forks []position.Position, err error) {
 	for _, line := range strings.Split(text, "\n") {
 		words := strings.Fields(line)
@@ -145,7 +147,7 @@
 			continue
 		}
 		if len(words) < 2 {
-			return nil, fmt.Errorf("timeline history %q has no place", line)
+			return nil, fmt.Errorf("timeline history %q has no log position", line)
 		}
 		tl, err := strconv.ParseUint(words[0], 10, 32)
 		if err != nil {
@@ -160,24 +162,25 @@
 	return forks, nil
 }
 
-// factsOfParams reads what a node told by parameters; not Known if it did not, or not in their form.
+// factsOfParams parses the facts that a node reported as parameters. They are not Known if a parameter is missing or
+// malformed.
 func factsOfParams(params map[string]string) driver.Facts {
 	timeline, lsn, ok := strings.Cut(params[paramPosition], ":")
-	standby, told := params[paramStandby]
-	if !ok || !told {
+	standby, reported := params[paramStandby]
+	if !ok || !reported {
 		return driver.Facts{}
 	}
 	tl, err1 := strconv.ParseUint(timeline, 10, 32)
 	at, err2 := position.ParseLSN(lsn)
 	f := driver.Facts{Known: true, Replica: standby == "on", Position: position.Position{Timeline: uint32(tl), LSN: at}}
-	if err1 != nil || err2 != nil || takeVisible(&f, params[paramXID], params[paramReceived]) != nil {
+	if err1 != nil || err2 != nil || parseVisibility(&f, params[paramXID], params[paramReceived]) != nil {
 		return driver.Facts{}
 	}
 	return f
 }
 
-// takeVisible reads which transactions are over, and how much log was received; both may be empty.
-func takeVisible(f *driver.Facts, snapshot, received string) (err error) {
+// parseVisibility parses which transactions are finished and how much log was received; both may be empty.
+func parseVisibility(f *driver.Facts, snapshot, received string) (err error) {
 	if snapshot != "" {
 		s, err := parseSnapshot(snapshot)
 		if err != nil {
@@ -195,8 +198,8 @@
 	return err
 }
 
-// parseSnapshot reads a snapshot, or, as nodes that tell by parameters may put it, one transaction id: below which
-// all are over on a primary, and that a replica has shown nothing at or above.
+// parseSnapshot parses a snapshot, or, as nodes may send it in parameters, a single transaction id: all transactions
+// below it are finished on a primary, and a replica shows none at or above it.
 func parseSnapshot(text string) (position.Snapshot, error) {
 	if id, err := strconv.ParseUint(text, 10, 64); err == nil {
 		return position.Snapshot{Oldest: id, Next: id}, nil
--- a/server/follow.go
+++ b/server/follow.go
@@ -22,62 +22,63 @@
 	"umberladder/settings"
 )
 
-// lastGoodName is the file of the last good inventory in the state directory.
+// lastGoodName is the name of the file in the state directory that holds the last valid inventory.
 const lastGoodName = "inventory.last"
 
-// follower keeps the list of nodes as the inventory's files say, through the membership module. One goroutine
-// owns that module.
-type follower struct {
-	settings *settings.Settings
-	log      *zap.Logger
-	watcher  *inventory.Watcher
-	module   *membership.Module
-	start    time.Time
-	digest   uint64 // of the files that the driver started with
-	updates  chan inventory.Update
-	resolver *resolver
-	nodes    func(context.Context) ([]driver.NodeState, time.Duration) // what the engine knows
-	confirms chan chan Status
+// inventoryFollower keeps the list of nodes in line with the inventory files, by way of package membership. The
+// goroutine in loop owns the module.
+type inventoryFollower struct {
+	settings      *settings.Settings
+	log           *zap.Logger
+	watcher       *inventory.Watcher
+	module        *membership.Module
+	start         time.Time
+	digest        uint64 // of the inventory files at the start
+	updates       chan inventory.Update
+	resolver      *resolver
+	nodeStates    func(context.Context) ([]driver.NodeState, time.Duration) // from the engine, with the engine time
+	confirmations chan chan Status
 
 	mu     sync.Mutex
 	status Status
 }
 
-// Status is what the control socket tells of the inventory.
+// Status is the state of the inventory as the control socket returns it.
 type Status struct {
 	Files    []string          `json:"files"`
-	Taken    time.Time         `json:"taken"`              // when the list in force was taken
-	Bad      string            `json:"bad,omitempty"`      // why the files are not taken, "" if they are
-	BadSince *time.Time        `json:"badSince,omitempty"` // since when
+	Taken    time.Time         `json:"taken"`              // when the current list was read
+	Bad      string            `json:"bad,omitempty"`      // why the files are not used, "" if they are
+	BadSince *time.Time        `json:"badSince,omitempty"` // since when the files are not used
 	Members  int               `json:"members"`
 	Held     []membership.Held `json:"held,omitempty"`
-	// Shared are nodes in force whose names stand for one address.
+	// Shared lists current nodes whose names resolve to one address.
 	Shared []membership.Shared `json:"shared,omitempty"`
-	// Unreachable are listed nodes that could not be connected to or asked. They stay listed; nothing waits for them.
+	// Unreachable lists nodes to which connections or polls fail. They stay in the list, and serving goes on without
+	// them.
 	Unreachable []Unreachable `json:"unreachable,omitempty"`
-	// Unlisted are standbys that follow a listed node and are not in the list.
+	// Unlisted lists standbys that follow a listed node and are not in the list themselves.
 	Unlisted []Unlisted `json:"unlisted,omitempty"`
 }
 
-// Unreachable is a node that can't be asked.
+// Unreachable is a listed node to which connections or polls fail.
 type Unreachable struct {
 	Node, Slice, Address string
 	Since                time.Time
 	Why                  string
 }
 
-// Unlisted is a standby that its primary told of.
+// Unlisted is a standby that its primary reported and the inventory lacks.
 type Unlisted struct{ Address, Name, Follows, Slice string }
 
-// newFollower reads the inventory that the settings name, nil if they name none. Where it can't be had, the
-// last good one is taken; without that the driver can't start.
-func newFollower(s *settings.Settings, log *zap.Logger, seed uint64) (*follower, []settings.Node, error) {
+// newInventoryFollower reads the inventory that the settings name, or returns nil and the settings' nodes if they
+// name none. If the inventory is invalid it uses the last valid one; without that it returns an error.
+func newInventoryFollower(s *settings.Settings, log *zap.Logger, seed uint64) (*inventoryFollower, []settings.Node, error) {
 	if len(s.Inventory) == 0 {
 		return nil, s.Nodes, nil
 	}
-	f := &follower{settings: s, log: log, module: membership.New(s.Members, seed), start: time.Now(),
-		updates: make(chan inventory.Update, 1), confirms: make(chan chan Status),
-		watcher: &inventory.Watcher{Paths: s.Inventory, Options: inventory.Options{Halls: hallsOf(s), MinMembers: s.LeastMembers}}}
+	f := &inventoryFollower{settings: s, log: log, module: membership.New(s.Members, seed), start: time.Now(),
+		updates: make(chan inventory.Update, 1), confirmations: make(chan chan Status),
+		watcher: &inventory.Watcher{Paths: s.Inventory, Options: inventory.Options{Halls: zonesOf(s), MinMembers: s.LeastMembers}}}
 	f.status.Files = s.Inventory
 	u := f.watcher.Read(context.Background())
 	f.digest = u.Digest
@@ -86,32 +87,32 @@
 		if s.StateDir == "" || err != nil {
 			return nil, nil, fmt.Errorf("no inventory to start with:\n%w", errors.Join(u.Err, err))
 		}
-		log.Warn("the inventory is bad, starting with the last good one",
+		log.Warn("inventory is invalid; starting with the last valid one",
 			zap.Duration("age", time.Since(last.Taken).Round(time.Second)), zap.NamedError("why", u.Err))
-		f.bad(u)
+		f.recordInvalid(u)
 		u = inventory.Update{Set: last.Set, At: last.Taken}
 	} else {
-		f.keep(u)
+		f.saveLastGood(u)
 	}
 	f.status.Taken = u.At
 	f.resolver = newResolver(log)
-	f.resolver.want(u.Set)
+	f.resolver.request(u.Set)
 	c := f.module.List(f.now(), u.Set)
-	f.note(c)
+	f.recordChange(c)
 	return f, nodesOf(c.Members), nil
 }
 
-func hallsOf(s *settings.Settings) []string {
+func zonesOf(s *settings.Settings) []string {
 	if len(s.Halls) == 0 {
 		return nil
 	}
 	return s.Halls
 }
 
-func (f *follower) now() time.Duration { return time.Since(f.start) }
+func (f *inventoryFollower) now() time.Duration { return time.Since(f.start) }
 
-// run follows the files until ctx ends, handing every change of the members in force to set.
-func (f *follower) run(ctx context.Context, set func([]settings.Node)) error {
+// run watches the files until ctx ends, and calls set whenever the current members change.
+func (f *inventoryFollower) run(ctx context.Context, set func([]settings.Node)) error {
 	var all errgroup.Group
 	all.Go(func() error {
 		return f.watcher.Run(ctx, f.digest, func(u inventory.Update) {
@@ -126,7 +127,7 @@
 	return all.Wait()
 }
 
-func (f *follower) loop(ctx context.Context, set func([]settings.Node)) {
+func (f *inventoryFollower) loop(ctx context.Context, set func([]settings.Node)) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
@@ -142,32 +143,32 @@
 			c = f.module.Tick(f.now())
 		case u := <-f.updates:
 			if u.Err != nil {
-				f.log.Error("the inventory is not taken, the last good one stays: " + u.Err.Error())
-				f.bad(u)
+				f.log.Error("inventory is invalid; keeping the last valid one: " + u.Err.Error())
+				f.recordInvalid(u)
 				continue
 			}
-			f.keep(u)
-			f.good(u)
-			f.resolver.want(u.Set)
+			f.saveLastGood(u)
+			f.recordValid(u)
+			f.resolver.request(u.Set)
 			c = f.module.List(f.now(), u.Set)
-		case found := <-f.resolver.found:
+		case found := <-f.resolver.results:
 			c = f.module.Resolved(f.now(), found)
-		case reply = <-f.confirms:
+		case reply = <-f.confirmations:
 			c = f.module.Confirm(f.now())
-			f.log.Info("what the inventory lacks is confirmed")
+			f.log.Info("removal of the nodes that the inventory lacks is confirmed")
 		}
-		f.note(c)
+		f.recordChange(c)
 		if c.Changed {
 			set(nodesOf(c.Members))
 		}
 		if reply != nil {
-			reply <- f.state()
+			reply <- f.currentStatus()
 		}
 	}
 }
 
-// keep saves a good set for a start at a worse time.
-func (f *follower) keep(u inventory.Update) {
+// saveLastGood saves a valid set for a later start with an invalid inventory.
+func (f *inventoryFollower) saveLastGood(u inventory.Update) {
 	if f.settings.StateDir == "" {
 		return
 	}
@@ -177,13 +178,13 @@
 	}
 }
 
-func (f *follower) good(u inventory.Update) {
+func (f *inventoryFollower) recordValid(u inventory.Update) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.status.Taken, f.status.Bad, f.status.BadSince = u.At, "", nil
 }
 
-func (f *follower) bad(u inventory.Update) {
+func (f *inventoryFollower) recordInvalid(u inventory.Update) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.status.Bad = u.Err.Error()
@@ -192,14 +193,14 @@
 	}
 }
 
-func (f *follower) note(c membership.Change) {
+func (f *inventoryFollower) recordChange(c membership.Change) {
 	f.mu.Lock()
 	before := len(f.status.Held)
 	shared := len(f.status.Shared)
 	f.status.Members, f.status.Held, f.status.Shared = len(c.Members), c.Held, c.Shared
 	f.mu.Unlock()
 	if len(c.Shared) > shared {
-		f.log.Warn(fmt.Sprintf("names of %d nodes stand for addresses of others, as %s for that of %s: list each node once",
+		f.log.Warn(fmt.Sprintf("names of %d nodes resolve to addresses of other nodes, as %s to that of %s: list each node once",
 			len(c.Shared), c.Shared[0].Node, c.Shared[0].With))
 	}
 	lacked := 0
@@ -209,20 +210,20 @@
 		}
 	}
 	if lacked > 0 && len(c.Held) != before {
-		f.log.Warn(fmt.Sprintf("the inventory lacks %d nodes that stay in force until confirmed: umberladder inventory apply --confirm", lacked))
+		f.log.Warn(fmt.Sprintf("the inventory lacks %d nodes; they stay in use until their removal is confirmed: umberladder inventory apply --confirm", lacked))
 	}
 }
 
-func (f *follower) state() Status {
+func (f *inventoryFollower) currentStatus() Status {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.status
 }
 
-// whole is the state with what the engine knows of the nodes.
-func (f *follower) whole(ctx context.Context) Status {
-	st := f.state()
-	nodes, now := f.nodes(ctx)
+// fullStatus returns the status with the unreachable and unlisted nodes, which the engine knows.
+func (f *inventoryFollower) fullStatus(ctx context.Context) Status {
+	st := f.currentStatus()
+	nodes, now := f.nodeStates(ctx)
 	known := map[string]bool{}
 	for _, n := range nodes {
 		known[n.Slice+" "+n.Name] = true
@@ -244,13 +245,13 @@
 	return st
 }
 
-// routes adds what the control socket tells and does of the inventory.
-func (f *follower) routes(ctx context.Context, mux *http.ServeMux) {
-	mux.HandleFunc("GET /inventory", func(w http.ResponseWriter, r *http.Request) { json.NewEncoder(w).Encode(f.whole(r.Context())) })
+// routes adds the handlers of the inventory to the control socket's mux.
+func (f *inventoryFollower) routes(ctx context.Context, mux *http.ServeMux) {
+	mux.HandleFunc("GET /inventory", func(w http.ResponseWriter, r *http.Request) { json.NewEncoder(w).Encode(f.fullStatus(r.Context())) })
 	mux.HandleFunc("POST /inventory/confirm", func(w http.ResponseWriter, r *http.Request) {
 		reply := make(chan Status, 1)
 		select {
-		case f.confirms <- reply:
+		case f.confirmations <- reply:
 			json.NewEncoder(w).Encode(<-reply)
 		case <-ctx.Done():
 			http.Error(w, "the driver is stopping", http.StatusServiceUnavailable)
@@ -258,7 +259,7 @@
 	})
 }
 
-// nodesOf is the members as the engine's list takes them.
+// nodesOf converts members to the settings' form of nodes.
 func nodesOf(members []membership.Member) []settings.Node {
 	nodes := make([]settings.Node, len(members))
 	for i, m := range members {
--- a/server/follow_test.go
+++ b/server/follow_test.go
@@ -18,7 +18,7 @@
 	"umberladder/server"
 )
 
-// control asks a driver's control socket.
+// control sends a request to a driver's control socket.
 func control(t *testing.T, socket, method, path string) (st server.Status) {
 	t.Helper()
 	transport := &http.Transport{DialContext: func(ctx context.Context, _, _ string) (net.Conn, error) {
@@ -46,15 +46,15 @@
 	t.Helper()
 	for try := 0; !done(); try++ {
 		if try == 500 {
-			t.Fatalf("never: %s", what)
+			t.Fatalf("not within 10 s: %s", what)
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
 }
 
-// TestFollowsAFile: a shorter list is held back until it is confirmed; a bad file changes nothing and is said;
-// a start with a broken file takes the last good one; without one there is no start.
-func TestFollowsAFile(t *testing.T) {
+// TestInventoryFile: nodes that a shorter file lacks are held until confirmed; an invalid file changes nothing and is
+// reported; a start with an invalid file uses the last valid one, and fails without one.
+func TestInventoryFile(t *testing.T) {
 	dir := t.TempDir()
 	socket := filepath.Join(dir, "control")
 	path := filepath.Join(dir, "nodes.yaml")
@@ -73,23 +73,23 @@
 	write(t, path, short.String(), 0o600)
 	until(t, "two nodes are held", func() bool { return len(control(t, socket, "GET", "/inventory").Held) == 2 })
 	if st := control(t, socket, "GET", "/inventory"); st.Members != 4 {
-		t.Errorf("%d nodes in force", st.Members)
+		t.Errorf("%d current nodes", st.Members)
 	}
 	if st := control(t, socket, "POST", "/inventory/confirm"); st.Members != 2 || len(st.Held) != 0 {
 		t.Errorf("after the confirmation: %+v", st)
 	}
 	must(t, f, readReq("stats", "a", ""))
 	write(t, path, "nodes: [", 0o600)
-	until(t, "the file is said to be bad", func() bool { return control(t, socket, "GET", "/inventory").Bad != "" })
+	until(t, "the file is reported as invalid", func() bool { return control(t, socket, "GET", "/inventory").Bad != "" })
 	if st := control(t, socket, "GET", "/inventory"); st.Members != 2 || st.BadSince == nil || !strings.Contains(st.Bad, path+":1") {
-		t.Errorf("with a bad file: %+v", st)
+		t.Errorf("with an invalid file: %+v", st)
 	}
 	must(t, f, readReq("stats", "a", ""))
 	if err := f.Drivers[0].Kill(); err != nil {
 		t.Fatal(err)
 	}
 	if err := f.Start(f.Drivers[0]); err != nil {
-		t.Fatalf("a start with the last good inventory: %v", err)
+		t.Fatalf("start with the last valid inventory: %v", err)
 	}
 	must(t, f, readReq("stats", "a", ""))
 	s, err := f.Settings(f.Drivers[0])
@@ -98,14 +98,14 @@
 	}
 	s.StateDir, s.Control = t.TempDir(), ""
 	if _, err := server.New(s, zap.NewNop(), 1); err == nil || !strings.Contains(err.Error(), "no inventory to start with") {
-		t.Errorf("a start without any inventory: %v", err)
+		t.Errorf("start without any inventory: %v", err)
 	}
 	write(t, path, string(text), 0o600)
-	until(t, "the file is good again", func() bool { return control(t, socket, "GET", "/inventory").Bad == "" })
+	until(t, "the file is valid again", func() bool { return control(t, socket, "GET", "/inventory").Bad == "" })
 }
 
-// TestSwappedFile: the file is swapped a thousand times under load and no request is lost.
-func TestSwappedFile(t *testing.T) {
+// TestReplacedInventoryFile: no request is lost while the inventory file is replaced a thousand times under load.
+func TestReplacedInventoryFile(t *testing.T) {
 	dir := t.TempDir()
 	path := filepath.Join(dir, "nodes.yaml")
 	f := newFleet(t, lab.Spec{Dir: dir})
@@ -126,7 +126,7 @@
 		select {
 		case <-done:
 			if n == 0 {
-				t.Error("nothing was served meanwhile")
+				t.Error("no request was served in the meantime")
 			}
 			return
 		default:
@@ -135,7 +135,8 @@
 	}
 }
 
-// BenchmarkNotice measures the time from a change on disk to the first new connection that follows from it.
+// BenchmarkNotice measures the time from a change of the inventory file to the first new connection to the node
+// added.
 //
 //	go test ./server -run '^$' -bench Notice -benchtime 5x
 func BenchmarkNotice(b *testing.B) {
@@ -162,8 +163,8 @@
 	}
 }
 
-// TestStatusOfNodes: who is listed and can't be reached is said, with why and since when, and so is a standby that
-// follows a listed primary and is not listed. The others serve meanwhile.
+// TestStatusOfNodes: the status names a listed node that is unreachable, with cause and time, and an unlisted standby
+// that follows a listed primary. The other nodes keep serving.
 func TestStatusOfNodes(t *testing.T) {
 	dir := t.TempDir()
 	socket, path := filepath.Join(dir, "control"), filepath.Join(dir, "nodes.csv")
@@ -198,7 +199,7 @@
 			t.Error(err)
 		}
 	}()
-	until(t, "the far node and the stray one are said", func() bool {
+	until(t, "the unreachable and the unlisted node are reported", func() bool {
 		st := control(t, socket, http.MethodGet, "/inventory")
 		return len(st.Unreachable) == 1 && st.Unreachable[0].Node == "far" && strings.Contains(st.Unreachable[0].Why, "refused") &&
 			len(st.Unlisted) == 1 && st.Unlisted[0].Address == "127.0.0.77" && st.Members == 4
--- a/server/idle_test.go
+++ b/server/idle_test.go
@@ -12,8 +12,8 @@
 	"umberladder/pgwire"
 )
 
-// greeter lets drivers in and then reads on; its own memory for a connection is measured beside.
-func greeter(l net.Listener, all *sync.WaitGroup) {
+// acceptLogins accepts logins and then answers Sync messages. Its own memory per connection is measured separately.
+func acceptLogins(l net.Listener, all *sync.WaitGroup) {
 	for {
 		nc, err := l.Accept()
 		if err != nil {
@@ -39,7 +39,7 @@
 	}
 }
 
-func memory() float64 {
+func heapAndStack() float64 {
 	runtime.GC()
 	runtime.GC()
 	var m runtime.MemStats
@@ -47,8 +47,7 @@
 	return float64(m.HeapAlloc + m.StackInuse)
 }
 
-// BenchmarkIdleConnection reports the memory of an idle connection to a db node, heap and stack, the peer's
-// part taken off.
+// BenchmarkIdleConnection reports the memory of an idle node connection, heap and stack, without the peer's part.
 //
 //	go test ./server -run '^$' -bench IdleConnection -benchtime 1x
 func BenchmarkIdleConnection(b *testing.B) {
@@ -62,8 +61,8 @@
 			b.Fatal(err)
 		}
 		var peers, conns sync.WaitGroup
-		go greeter(l, &peers)
-		before := memory()
+		go acceptLogins(l, &peers)
+		before := heapAndStack()
 		plain := make([]net.Conn, n)
 		for i := range plain {
 			nc, err := net.Dial("tcp", l.Addr().String())
@@ -74,8 +73,8 @@
 			pgwire.NewReader(nc, 0).Next()
 			plain[i] = nc
 		}
-		peer := memory() - before
-		before = memory()
+		peer := heapAndStack() - before
+		before = heapAndStack()
 		ctx, cancel := context.WithCancel(b.Context())
 		in, shared := inbox.New[driver.Event](), &pgwire.Buffers{}
 		for i := range n {
@@ -88,9 +87,9 @@
 		}
 		for up := 0; up < n; {
 			<-in.Ready()
-			up += drained(in)
+			up += drainCount(in)
 		}
-		b.ReportMetric((memory()-before-peer)/n, "B/conn")
+		b.ReportMetric((heapAndStack()-before-peer)/n, "B/conn")
 		cancel()
 		conns.Wait()
 		for _, nc := range plain {
@@ -101,8 +100,8 @@
 	}
 }
 
-// drained is how many events an inbox held.
-func drained(in *inbox.Inbox[driver.Event]) int {
+// drainCount drains an inbox and returns the number of events that it held.
+func drainCount(in *inbox.Inbox[driver.Event]) int {
 	events, _ := in.Drain(nil)
 	return len(events)
 }
--- a/server/overdue_test.go
+++ b/server/lateloop_test.go
@@ -18,9 +18,9 @@
 	"umberladder/standin"
 )
 
-// TestLoopThatIsLate: the loop does nothing until the test lets it. Every call has its one answer before its client gives
-// up all the same, refused where that is harmless, and nothing of it reaches a node afterwards.
-func TestLoopThatIsLate(t *testing.T) {
+// TestLateLoop: while the test blocks the loop, every call still gets one answer before its deadline, refused where
+// that is harmless, and nothing of it reaches a node afterwards.
+func TestLateLoop(t *testing.T) {
 	trace := standin.NewTrace()
 	g := standin.NewGroup("news", time.Second, trace)
 	defer g.Close()
@@ -52,7 +52,7 @@
 	}
 	defer cc.Close()
 	release, held := make(chan struct{}), make(chan struct{})
-	go srv.loop.look(t.Context(), func(*driver.Engine) { close(held); <-release })
+	go srv.loop.withEngine(t.Context(), func(*driver.Engine) { close(held); <-release })
 	<-held
 	for class, want := range map[string]string{"r": "REFUSED", "w": "FAILED"} {
 		_, err := pb.NewDriverClient(cc).Execute(t.Context(), &pb.ExecuteRequest{Slice: "news", Class: class, Timeout: durationpb.New(300 * time.Millisecond),
@@ -68,7 +68,7 @@
 		}
 	}
 	close(release)
-	srv.loop.look(t.Context(), func(*driver.Engine) {})
+	srv.loop.withEngine(t.Context(), func(*driver.Engine) {})
 	if n := len(g.Commits()); n > 0 {
 		t.Errorf("%d writes ran after their answers", n)
 	}
--- a/server/loop.go
+++ b/server/loop.go
@@ -12,34 +12,36 @@
 	"umberladder/internal/inbox"
 )
 
-// clockStart is the engine's time at the start. It lies far from zero, which is no time to the module.
+// clockStart is the engine's time at the start. It is far from zero because the engine reads zero as unset.
 const clockStart = 1000 * time.Hour
 
-// loop owns the engine. It alone calls it, never blocks on a socket, and carries out its commands.
+// loop owns the engine. Only its goroutine calls the engine and carries out its commands; it never blocks on a
+// socket.
 type loop struct {
-	engine          *driver.Engine
-	inbox           *inbox.Inbox[driver.Event]
-	login           login
-	whole, streamed *room  // for answers
-	words           []byte // room to put an exchange together
-	log             *zap.Logger
-	metrics         *metrics
-	start           time.Time
-	conns           map[driver.ConnID]*conn
-	calls           callTable
-	work            *errgroup.Group
-	cancels         time.Duration
-	list            func() []driver.Node
-	front           *front
-	stopped         chan struct{}
-	looks           chan func(*driver.Engine)
+	engine               *driver.Engine
+	inbox                *inbox.Inbox[driver.Event]
+	login                login
+	unstreamed, streamed *answerMemory // memory of answers
+	buf                  []byte        // buffer for encoding exchanges
+	log                  *zap.Logger
+	metrics              *metrics
+	start                time.Time
+	conns                map[driver.ConnID]*conn
+	calls                callTable
+	work                 *errgroup.Group
+	cancelTimeout        time.Duration
+	listNodes            func() []driver.Node
+	frontEnd             *frontEnd
+	stopped              chan struct{}
+	engineCalls          chan func(*driver.Engine)
 }
 
-// look has the loop call a function with its engine, and returns once it did, or ctx ended.
-func (l *loop) look(ctx context.Context, f func(*driver.Engine)) error {
+// withEngine has the loop's goroutine call f with the engine, and returns when f has returned, or with an error if
+// ctx ends before the call.
+func (l *loop) withEngine(ctx context.Context, f func(*driver.Engine)) error {
 	done := make(chan struct{})
 	select {
-	case l.looks <- func(e *driver.Engine) { f(e); close(done) }:
+	case l.engineCalls <- func(e *driver.Engine) { f(e); close(done) }:
 		<-done
 		return nil
 	case <-ctx.Done():
@@ -49,7 +51,7 @@
 
 func (l *loop) now() time.Duration { return clockStart + time.Since(l.start) }
 
-// run goes on until ctx ends; then it closes all connections.
+// run runs the engine until ctx ends, then closes all connections.
 func (l *loop) run(ctx context.Context) error {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -64,41 +66,41 @@
 		select {
 		case <-l.inbox.Ready():
 		case <-timer.C:
-		case f := <-l.looks:
+		case f := <-l.engineCalls:
 			f(l.engine)
 			continue
 		case <-ctx.Done():
-			l.end()
+			l.shutdown()
 			return nil
 		}
-		advance := l.engine.Step
-		if l.now()-due > stall { // this machine stood still
-			time.Sleep(readersFirst)
-			advance = l.engine.StepLate
+		step := l.engine.Step
+		if l.now()-due > suspendedAfter { // the machine or the process was suspended
+			time.Sleep(readGrace)
+			step = l.engine.StepLate
 		}
 		events, waited := l.inbox.Drain(spare)
 		if len(events) > 0 {
-			l.front.looped(waited)
+			l.frontEnd.observeLoopDelay(waited)
 		}
-		cmds = advance(l.now(), events, cmds[:0])
+		cmds = step(l.now(), events, cmds[:0])
 		for i := range cmds {
 			l.do(ctx, &cmds[i])
 			cmds[i] = driver.Command{}
 		}
-		l.forget(events)
+		l.removeClosed(events)
 		clear(events)
 		spare = events
-		l.metrics.state(l.engine.Held(), l.engine.Conns())
+		l.metrics.setGauges(l.engine.Held(), l.engine.Conns())
 	}
 }
 
 const (
-	stall        = 100 * time.Millisecond // by which the loop must be late to count as stopped
-	readersFirst = 2 * time.Millisecond   // which the connections then have to tell what came
+	suspendedAfter = 100 * time.Millisecond // a loop that is later than this was suspended
+	readGrace      = 2 * time.Millisecond   // time for readers to report pending input before the engine handles timers
 )
 
-// forget drops the connections that said their last word.
-func (l *loop) forget(events []driver.Event) {
+// removeClosed removes connections that have reported their last event.
+func (l *loop) removeClosed(events []driver.Event) {
 	for i := range events {
 		ev := &events[i]
 		if ev.Kind == driver.EventClosed || ev.Kind == driver.EventDialed && ev.Dial != nil ||
@@ -108,8 +110,8 @@
 	}
 }
 
-// end answers what is still held, so that no handler waits for a loop that is gone.
-func (l *loop) end() {
+// shutdown closes the connections and fails all pending calls, so that no handler waits for the stopped loop.
+func (l *loop) shutdown() {
 	for _, c := range l.conns {
 		c.cancel()
 	}
@@ -134,11 +136,11 @@
 		l.send(cmd)
 	case driver.CommandAsk:
 		if c := l.conns[cmd.Conn]; c != nil {
-			l.words = c.start(job{kind: exchangeAsk, sink: &reply{}}, l.words)
+			l.buf = c.startExchange(job{kind: exchangePoll, sink: &reply{}}, l.buf)
 		}
 	case driver.CommandCancel:
 		if c := l.conns[cmd.Conn]; c != nil {
-			l.work.Go(func() error { c.cancelWork(l.cancels); return nil })
+			l.work.Go(func() error { c.cancelWork(l.cancelTimeout); return nil })
 		}
 	case driver.CommandClose:
 		if c := l.conns[cmd.Conn]; c != nil {
@@ -152,7 +154,7 @@
 	case driver.CommandAnswer:
 		l.calls.answer(cmd.Request, cmd.Answer)
 	case driver.CommandSubscribe:
-		l.inbox.Put(driver.Event{Kind: driver.EventList, List: listFull, Nodes: l.list()})
+		l.inbox.Put(driver.Event{Kind: driver.EventList, List: listFull, Nodes: l.listNodes()})
 	case driver.CommandLog:
 		l.logLine(cmd)
 	case driver.CommandStopped:
@@ -173,7 +175,7 @@
 	if c == nil || call == nil {
 		return
 	}
-	j := job{kind: exchangeRead, st: &call.st}
+	j := job{kind: exchangeRead, stmt: &call.stmt}
 	if cmd.Write {
 		j.kind, j.guard = exchangeWrite, cmd.Guard
 	}
@@ -181,9 +183,9 @@
 		c.stream = newStream(call.ctx, l.streamed)
 		j.sink, j.stream = c.stream, c.stream
 	} else if cmd.Write {
-		j.sink = &reply{most: call.most} // it ran: what it says is not thrown away for want of room
+		j.sink = &reply{maxBytes: call.maxResultBytes} // not dropped for lack of memory: the write has run
 	} else {
-		j.sink = &reply{most: call.most, room: l.whole}
+		j.sink = &reply{maxBytes: call.maxResultBytes, memory: l.unstreamed}
 	}
-	l.words = c.start(j, l.words)
+	l.buf = c.startExchange(j, l.buf)
 }
--- a/server/memory.go
+++ b/server/memory.go
@@ -8,19 +8,20 @@
 	"time"
 )
 
-// memoryEvery is how often the process looks at its own memory.
-const memoryEvery = 50 * time.Millisecond
+// memoryInterval is the time between checks of the process's memory.
+const memoryInterval = 50 * time.Millisecond
 
-// Live memory: what the last collection found in use, and what the garbage collector has no say in. What is garbage by
-// now is left out; the runtime lets it grow up to its limit before it collects.
+// Metrics whose sum is the live memory: heap in use at the last collection, and memory outside the garbage
+// collector's control. Garbage is left out, because the runtime lets it grow up to its limit before it collects.
 var liveMemory = []string{"/gc/heap/live:bytes", "/memory/classes/heap/stacks:bytes", "/memory/classes/metadata/mcache/inuse:bytes",
 	"/memory/classes/metadata/mspan/inuse:bytes", "/memory/classes/metadata/other:bytes", "/memory/classes/os-stacks:bytes",
 	"/memory/classes/other:bytes", "/memory/classes/profiling/buckets:bytes"}
 
-// watchMemory tells the gate how near the process is to the memory that it may take up: the settings', or GOMEMLIMIT.
-func (f *front) watchMemory(ctx context.Context, most int) {
-	limit := float64(most)
-	if most == 0 {
+// watchMemory periodically reports to the gate the share of the memory limit in use. The limit is limitBytes or, if
+// that is 0, GOMEMLIMIT.
+func (f *frontEnd) watchMemory(ctx context.Context, limitBytes int) {
+	limit := float64(limitBytes)
+	if limitBytes == 0 {
 		limit = float64(debug.SetMemoryLimit(-1))
 	}
 	if f.gate == nil || limit >= math.MaxInt64 {
@@ -30,7 +31,7 @@
 	for i, name := range liveMemory {
 		samples[i].Name = name
 	}
-	tick := time.NewTicker(memoryEvery)
+	tick := time.NewTicker(memoryInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -47,7 +48,7 @@
 
 func sum(samples []rt.Sample) (n uint64) {
 	for _, s := range samples {
-		if s.Value.Kind() == rt.KindUint64 { // a later Go may not have one of them
+		if s.Value.Kind() == rt.KindUint64 { // a later Go version may lack one of them
 			n += s.Value.Uint64()
 		}
 	}
--- a/server/metrics.go
+++ b/server/metrics.go
@@ -8,7 +8,7 @@
 	"umberladder/driver"
 )
 
-// metrics is what Prometheus may ask for.
+// metrics holds the Prometheus metrics.
 type metrics struct {
 	registry *prometheus.Registry
 	answers  *prometheus.CounterVec
@@ -22,20 +22,20 @@
 	m := &metrics{
 		registry: prometheus.NewRegistry(),
 		answers: prometheus.NewCounterVec(prometheus.CounterOpts{Name: "umberladder_answers_total",
-			Help: "Final answers by class and kind."}, []string{"class", "answer"}),
+			Help: "Final answers by class and outcome."}, []string{"class", "answer"}),
 		latency: prometheus.NewHistogramVec(prometheus.HistogramOpts{Name: "umberladder_answer_seconds",
 			Help: "Time from a request's arrival to its final answer.", Buckets: prometheus.ExponentialBuckets(0.001, 2, 14)},
 			[]string{"class"}),
 		attempts: prometheus.NewCounter(prometheus.CounterOpts{Name: "umberladder_attempts_total",
-			Help: "Attempts sent for answered requests."}),
-		held:  prometheus.NewGauge(prometheus.GaugeOpts{Name: "umberladder_held_requests", Help: "Requests without their final answer."}),
-		conns: prometheus.NewGauge(prometheus.GaugeOpts{Name: "umberladder_node_connections", Help: "Connections to db nodes."}),
+			Help: "Attempts sent to nodes for answered requests."}),
+		held:  prometheus.NewGauge(prometheus.GaugeOpts{Name: "umberladder_held_requests", Help: "Requests without a final answer."}),
+		conns: prometheus.NewGauge(prometheus.GaugeOpts{Name: "umberladder_node_connections", Help: "Connections to database nodes."}),
 	}
 	m.registry.MustRegister(m.answers, m.latency, m.attempts, m.held, m.conns)
 	return m
 }
 
-func (m *metrics) answered(class string, a driver.Answer, err error, took time.Duration) {
+func (m *metrics) observeAnswer(class string, a driver.Answer, err error, took time.Duration) {
 	kind := [...]string{"served", "refused", "failed"}[a.Status]
 	if err != nil && a.Status == driver.Served {
 		kind = "left"
@@ -45,27 +45,27 @@
 	m.attempts.Add(float64(a.Attempts))
 }
 
-// gateMetrics tells of the gate when it is asked for.
-type gateMetrics struct{ front *front }
+// gateMetrics collects the figures of the admission gate.
+type gateMetrics struct{ frontEnd *frontEnd }
 
 var (
-	gateArrivals = prometheus.NewDesc("umberladder_admission_total", "Arrivals by what became of them: taken, or why not.", []string{"verdict"}, nil)
-	gateLimit    = prometheus.NewDesc("umberladder_admission_limit", "Requests that may be under way.", []string{"slice", "pool"}, nil)
-	gateOpen     = prometheus.NewDesc("umberladder_admission_open", "Requests under way.", []string{"slice", "pool"}, nil)
-	gateTight    = prometheus.NewDesc("umberladder_admission_shed_for_memory", "Classes refused as the driver is near its memory.", nil, nil)
-	gateLevel    = prometheus.NewDesc("umberladder_admission_shed_classes", "Classes refused as the driver is late.", nil, nil)
+	gateArrivals      = prometheus.NewDesc("umberladder_admission_total", "Arrived requests by verdict: taken, or the reason of the refusal.", []string{"verdict"}, nil)
+	gateLimit         = prometheus.NewDesc("umberladder_admission_limit", "Maximum number of requests in flight.", []string{"slice", "pool"}, nil)
+	gateOpen          = prometheus.NewDesc("umberladder_admission_open", "Requests in flight.", []string{"slice", "pool"}, nil)
+	gateShedForMemory = prometheus.NewDesc("umberladder_admission_shed_for_memory", "Classes refused because the driver is near its memory limit.", nil, nil)
+	gateShedClasses   = prometheus.NewDesc("umberladder_admission_shed_classes", "Classes refused because the driver is late.", nil, nil)
 )
 
 // Describe implements prometheus.Collector.
 func (g gateMetrics) Describe(out chan<- *prometheus.Desc) {
-	for _, d := range []*prometheus.Desc{gateArrivals, gateLimit, gateOpen, gateLevel, gateTight} {
+	for _, d := range []*prometheus.Desc{gateArrivals, gateLimit, gateOpen, gateShedClasses, gateShedForMemory} {
 		out <- d
 	}
 }
 
 // Collect implements prometheus.Collector.
 func (g gateMetrics) Collect(out chan<- prometheus.Metric) {
-	st := g.front.stats()
+	st := g.frontEnd.stats()
 	for verdict, n := range st.Counts {
 		out <- prometheus.MustNewConstMetric(gateArrivals, prometheus.CounterValue, float64(n), verdict)
 	}
@@ -74,22 +74,22 @@
 		out <- prometheus.MustNewConstMetric(gateLimit, prometheus.GaugeValue, p.Limit, p.Slice, name)
 		out <- prometheus.MustNewConstMetric(gateOpen, prometheus.GaugeValue, float64(p.Open), p.Slice, name)
 	}
-	out <- prometheus.MustNewConstMetric(gateTight, prometheus.GaugeValue, float64(st.Tight))
-	out <- prometheus.MustNewConstMetric(gateLevel, prometheus.GaugeValue, float64(st.Level))
+	out <- prometheus.MustNewConstMetric(gateShedForMemory, prometheus.GaugeValue, float64(st.Tight))
+	out <- prometheus.MustNewConstMetric(gateShedClasses, prometheus.GaugeValue, float64(st.Level))
 }
 
-// streamMetrics tells of the calls and watches that are open.
+// streamMetrics collects the counts of open calls and watches.
 type streamMetrics struct{ streams *streams }
 
 var (
-	streamsOpen   = prometheus.NewDesc("umberladder_streams_open", "Calls and watches that are open.", []string{"kind"}, nil)
-	streamsTurned = prometheus.NewDesc("umberladder_streams_refused_total", "Calls and watches refused as too many were open.", nil, nil)
+	streamsOpen    = prometheus.NewDesc("umberladder_streams_open", "Open calls and watches.", []string{"kind"}, nil)
+	streamsRefused = prometheus.NewDesc("umberladder_streams_refused_total", "Calls and watches refused because too many were open.", nil, nil)
 )
 
 // Describe implements prometheus.Collector.
 func (s streamMetrics) Describe(out chan<- *prometheus.Desc) {
 	out <- streamsOpen
-	out <- streamsTurned
+	out <- streamsRefused
 }
 
 // Collect implements prometheus.Collector.
@@ -97,10 +97,10 @@
 	watches := s.streams.watches.Load()
 	out <- prometheus.MustNewConstMetric(streamsOpen, prometheus.GaugeValue, float64(s.streams.open.Load()-watches), "call")
 	out <- prometheus.MustNewConstMetric(streamsOpen, prometheus.GaugeValue, float64(watches), "watch")
-	out <- prometheus.MustNewConstMetric(streamsTurned, prometheus.CounterValue, float64(s.streams.turned.Load()))
+	out <- prometheus.MustNewConstMetric(streamsRefused, prometheus.CounterValue, float64(s.streams.refused.Load()))
 }
 
-func (m *metrics) state(held, conns int) {
+func (m *metrics) setGauges(held, conns int) {
 	m.held.Set(float64(held))
 	m.conns.Set(float64(conns))
 }
--- a/server/reply.go
+++ b/server/reply.go
@@ -11,30 +11,30 @@
 	pb "umberladder/proto/umberladder/v1"
 )
 
-// reply collects a whole answer.
+// reply collects an answer that is not streamed.
 type reply struct {
-	cols   []pgwire.Column
-	rows   []*pb.Row
-	done   string
-	fault  *pgwire.Error // the statement's own error
-	size   int
-	most   int // bytes of values kept at the most
-	room   *room
-	taken  int64 // bytes of it
-	tooBig bool
-	noRoom bool // for it beside all the others
+	cols       []pgwire.Column
+	rows       []*pb.Row
+	commandTag string
+	sqlError   *pgwire.Error // error of the statement itself
+	size       int
+	maxBytes   int // limit of size, in bytes
+	memory     *answerMemory
+	reserved   int64 // bytes reserved in memory
+	tooBig     bool
+	noMemory   bool // memory for all answers is exhausted
 }
 
 func (r *reply) columns(c []pgwire.Column) { r.cols = c }
-func (r *reply) tag(text string)           { r.done = text }
+func (r *reply) tag(text string)           { r.commandTag = text }
 
 func (r *reply) row(values [][]byte) {
-	r.size += int(sizeOf(values))
-	r.tooBig = r.tooBig || r.size > r.most
-	if r.noRoom = r.noRoom || !r.tooBig && !r.grow(); r.tooBig || r.noRoom {
+	r.size += int(rowSize(values))
+	r.tooBig = r.tooBig || r.size > r.maxBytes
+	if r.noMemory = r.noMemory || !r.tooBig && !r.grow(); r.tooBig || r.noMemory {
 		r.rows = nil
-		r.end()
-		r.room = nil
+		r.releaseMemory()
+		r.memory = nil
 		return
 	}
 	r.rows = append(r.rows, rowOf(r.cols, values))
@@ -48,7 +48,7 @@
 	return row
 }
 
-// valueOf turns PostgreSQL's text form into a typed value. What has no type of its own here stays text.
+// valueOf converts PostgreSQL's text format to a typed value. Types without a case here stay text.
 func valueOf(oid uint32, v []byte) *pb.Value {
 	if v == nil {
 		return &pb.Value{}
@@ -75,8 +75,8 @@
 	return &pb.Value{Kind: &pb.Value_TextValue{TextValue: string(v)}}
 }
 
-// parameter turns a typed value into its type and PostgreSQL's text form. Text goes without a type, so that
-// the db node infers it; ok is false for text that the protocol can't carry.
+// parameter converts a typed value to its type OID and PostgreSQL's text format. Text has OID 0, so that the node
+// infers the type. ok is false for text that the protocol can't carry.
 func parameter(v *pb.Value) (oid uint32, text []byte, ok bool) {
 	switch k := v.GetKind().(type) {
 	case *pb.Value_BoolValue:
@@ -86,7 +86,7 @@
 	case *pb.Value_DoubleValue:
 		return pgwire.OIDFloat8, strconv.AppendFloat(nil, k.DoubleValue, 'g', -1, 64), true
 	case *pb.Value_TextValue:
-		return 0, []byte(k.TextValue), plainText(k.TextValue)
+		return 0, []byte(k.TextValue), encodable(k.TextValue)
 	case *pb.Value_BytesValue:
 		return pgwire.OIDBytea, append([]byte(`\x`), hex.EncodeToString(k.BytesValue)...), true
 	}
--- a/server/resolve.go
+++ b/server/resolve.go
@@ -14,84 +14,84 @@
 )
 
 const (
-	resolveEvery   = 30 * time.Second // names are looked up again
-	resolveTimeout = 3 * time.Second  // for one name
-	resolveAtOnce  = 16               // names
+	resolveInterval = 30 * time.Second // between look-ups of all names
+	resolveTimeout  = 3 * time.Second  // for one name
+	resolveParallel = 16               // look-ups at a time
 )
 
-// resolver finds out what the names of listed nodes stand for, so that two names of one node are noticed. Nothing
-// waits for it: connections look their names up themselves.
+// resolver resolves the host names of listed nodes, to detect two names of one node. Nothing waits for it, as
+// connections resolve names themselves.
 type resolver struct {
-	lookup func(ctx context.Context, host string) ([]string, error)
-	log    *zap.Logger
-	wanted chan *inventory.Set
-	found  chan map[string][]string // by node, its addresses with port
+	lookup   func(ctx context.Context, host string) ([]string, error)
+	log      *zap.Logger
+	requests chan *inventory.Set
+	results  chan map[string][]string // addresses with port, by node name
 
-	mu   sync.Mutex
-	last map[string][]string
+	mu        sync.Mutex
+	lastFound map[string][]string
 }
 
 func newResolver(log *zap.Logger) *resolver {
-	return &resolver{lookup: net.DefaultResolver.LookupHost, log: log, wanted: make(chan *inventory.Set, 1),
-		found: make(chan map[string][]string)}
+	return &resolver{lookup: net.DefaultResolver.LookupHost, log: log, requests: make(chan *inventory.Set, 1),
+		results: make(chan map[string][]string)}
 }
 
-// want has the names of a set looked up, now and from then on. Only the newest set counts.
-func (r *resolver) want(set *inventory.Set) {
+// request has the names of a set resolved, now and periodically. A newer set replaces it.
+func (r *resolver) request(set *inventory.Set) {
 	select {
-	case <-r.wanted:
+	case <-r.requests:
 	default:
 	}
-	r.wanted <- set
+	r.requests <- set
 }
 
-// run looks names up until ctx ends.
+// run resolves names until ctx ends.
 func (r *resolver) run(ctx context.Context) {
 	var set *inventory.Set
 	for {
 		select {
-		case set = <-r.wanted:
-		case <-time.After(resolveEvery):
+		case set = <-r.requests:
+		case <-time.After(resolveInterval):
 		case <-ctx.Done():
 			return
 		}
-		found := r.all(ctx, set)
+		found := r.resolveAll(ctx, set)
 		r.mu.Lock()
-		r.last = found
+		r.lastFound = found
 		r.mu.Unlock()
 		select {
-		case r.found <- found:
+		case r.results <- found:
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-// addresses is what a node's name stood for when it was looked up last.
+// addresses returns the last resolved addresses of a node, with port.
 func (r *resolver) addresses(node string) []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.last[node]
+	return r.lastFound[node]
 }
 
-func (r *resolver) all(ctx context.Context, set *inventory.Set) map[string][]string {
+func (r *resolver) resolveAll(ctx context.Context, set *inventory.Set) map[string][]string {
 	hosts := map[string][]string{}
 	for i := range set.Nodes {
 		hosts[set.Nodes[i].Host] = nil
 	}
 	var mu sync.Mutex
 	var work errgroup.Group
-	work.SetLimit(resolveAtOnce)
-	for _, host := range names(hosts) {
+	work.SetLimit(resolveParallel)
+	for _, host := range sortedHosts(hosts) {
 		work.Go(func() error {
-			ips := r.one(ctx, host)
+			ips := r.resolveOne(ctx, host)
 			mu.Lock()
 			defer mu.Unlock()
 			hosts[host] = ips
 			return nil
 		})
 	}
-	work.Wait() // no error: what can't be looked up is left out
+	work.Wait() // no error: names that can't be resolved are left out
 	found := map[string][]string{}
 	for i := range set.Nodes {
 		n := &set.Nodes[i]
@@ -103,7 +103,7 @@
 	return found
 }
 
-func names(hosts map[string][]string) []string {
+func sortedHosts(hosts map[string][]string) []string {
 	all := make([]string, 0, len(hosts))
 	for h := range hosts {
 		all = append(all, h)
@@ -112,7 +112,7 @@
 	return all
 }
 
-func (r *resolver) one(ctx context.Context, host string) []string {
+func (r *resolver) resolveOne(ctx context.Context, host string) []string {
 	if ip := net.ParseIP(host); ip != nil {
 		return []string{ip.String()}
 	}
@@ -120,7 +120,7 @@
 	defer cancel()
 	ips, err := r.lookup(ctx, host)
 	if err != nil && ctx.Err() == nil {
-		r.log.Debug("a listed name is not resolved", zap.String("host", host), zap.Error(err))
+		r.log.Debug("host name of a listed node is not resolved", zap.String("host", host), zap.Error(err))
 	}
 	slices.Sort(ips)
 	return ips
--- a/server/server.go
+++ b/server/server.go
@@ -1,6 +1,8 @@
-// Package server is the shell around the engine of package driver: it serves clients over gRPC and speaks the
-// PostgreSQL protocol to db nodes. One loop owns the engine; every connection has a goroutine that opens
-// it and reads; contexts bound how long each lives. docs/architecture.md shows how a request flows.
+// Package server runs the engine of package driver on sockets. Requests of clients come in over gRPC, and node lists
+// from the settings or the inventory files; statements go out to database nodes over PostgreSQL's protocol, and
+// operators use a control socket. Command umberladder and the laboratory make a Server with New and call Run, in
+// which one goroutine owns the engine and each node connection has a reader; docs/architecture.md follows a request
+// through it.
 package server
 
 import (
@@ -38,13 +40,13 @@
 
 const listFull = balance.ListFull
 
-// maxRequest is the longest request message taken from a client, in bytes.
-const maxRequest = 4 << 20
+// maxRequestBytes is the maximum size of a request message.
+const maxRequestBytes = 4 << 20
 
-// maxHeaders is the most metadata taken with a call, in bytes: bags of tokens are the longest of it.
-const maxHeaders = 64 << 10
+// maxMetadataBytes is the maximum size of a call's metadata. Sets of tokens are the largest part of it.
+const maxMetadataBytes = 64 << 10
 
-// Server is one driver. Make it with New, then Run it once.
+// Server is one driver process's gRPC server, engine and node connections. Make it with New and call Run once.
 type Server struct {
 	settings      *settings.Settings
 	log           *zap.Logger
@@ -54,19 +56,20 @@
 	health        *health.Server
 	listener      net.Listener
 	metrics       *metrics
-	wall          time.Time // what the engine's clockStart was on the wall
+	startedAt     time.Time // wall-clock time that corresponds to clockStart
 	kill          context.CancelFunc
 	killed        context.Context
-	keys          atomic.Pointer[token.Keyring] // nil: tokens are not signed
-	follow        *follower                     // nil where nodes stand in the settings
-	savedTopology []byte                        // as it was written last
+	keys          atomic.Pointer[token.Keyring] // nil if tokens are not signed
+	follower      *inventoryFollower            // nil if the settings list the nodes
+	savedTopology []byte                        // as last written
 
 	mu    sync.Mutex
 	nodes []settings.Node
 }
 
-// New makes a driver and opens its listener, so that Addr is known before Run. The seed feeds the module's
-// randomness; two drivers should not share one.
+// New makes a driver and opens its gRPC listener, so that Addr is valid before Run. The seed initializes random
+// decisions; each driver needs its own. It fails if the password or keys can't be read, there is no usable inventory,
+// or the address can't be listened on. Damaged state files are only logged.
 func New(s *settings.Settings, log *zap.Logger, seed uint64) (*Server, error) {
 	password, err := readPassword(s.PasswordFile)
 	if err != nil {
@@ -74,11 +77,11 @@
 	}
 	cfg := engineConfig(s)
 	if cfg.DriverSessions {
-		if cfg.Sessions, cfg.SessionsWhole, err = takeSessions(s.StateDir, time.Now()); err != nil {
+		if cfg.Sessions, cfg.SessionsWhole, err = loadSessions(s.StateDir, time.Now()); err != nil {
 			log.Warn(err.Error())
 		}
 	}
-	if cfg.Topology, err = takeTopology(s.StateDir); err != nil {
+	if cfg.Topology, err = loadTopology(s.StateDir); err != nil {
 		log.Warn(err.Error())
 	}
 	engine, err := driver.New(cfg, seed)
@@ -89,7 +92,7 @@
 	if err != nil {
 		return nil, err
 	}
-	follow, nodes, err := newFollower(s, log, seed)
+	follower, nodes, err := newInventoryFollower(s, log, seed)
 	if err != nil {
 		return nil, err
 	}
@@ -97,21 +100,21 @@
 	if err != nil {
 		return nil, fmt.Errorf("listen grpc: %w", err)
 	}
-	srv := &Server{settings: s, log: log, listener: listener, metrics: newMetrics(), wall: time.Now(), nodes: nodes, follow: follow}
+	srv := &Server{settings: s, log: log, listener: listener, metrics: newMetrics(), startedAt: time.Now(), nodes: nodes, follower: follower}
 	srv.keys.Store(keys)
 	srv.killed, srv.kill = context.WithCancel(context.Background())
-	front, err := newFront(s, seed, func() time.Duration { return clockStart + time.Since(srv.wall) })
+	gate, err := newFrontEnd(s, seed, func() time.Duration { return clockStart + time.Since(srv.startedAt) })
 	if err != nil {
 		listener.Close()
 		return nil, err
 	}
-	srv.metrics.registry.MustRegister(gateMetrics{front})
-	srv.loop = &loop{front: front, engine: engine, inbox: inbox.New[driver.Event](), log: log, metrics: srv.metrics, start: srv.wall,
+	srv.metrics.registry.MustRegister(gateMetrics{gate})
+	srv.loop = &loop{frontEnd: gate, engine: engine, inbox: inbox.New[driver.Event](), log: log, metrics: srv.metrics, start: srv.startedAt,
 		login: login{user: s.User, password: password, database: s.Database, maxMessage: s.MaxMessage, history: s.TokenHistory, buffers: &pgwire.Buffers{}},
-		conns: map[driver.ConnID]*conn{}, cancels: s.DialTimeout, stopped: make(chan struct{}), looks: make(chan func(*driver.Engine)), list: srv.list}
-	srv.loop.whole, srv.loop.streamed = newRooms(s.Within(s.AnswerBytes))
-	if follow != nil {
-		follow.nodes = srv.nodeStates
+		conns: map[driver.ConnID]*conn{}, cancelTimeout: s.DialTimeout, stopped: make(chan struct{}), engineCalls: make(chan func(*driver.Engine)), listNodes: srv.nodeList}
+	srv.loop.unstreamed, srv.loop.streamed = splitAnswerMemory(s.Within(s.AnswerBytes))
+	if follower != nil {
+		follower.nodeStates = srv.nodeStates
 	}
 	srv.register()
 	return srv, nil
@@ -138,7 +141,7 @@
 	return token.LoadKeys(s.TokenKeys)
 }
 
-// ReloadKeys reads the token keys again. On an error the old ones stay.
+// ReloadKeys reads the token key file again. After an error the old keys stay in use.
 func (s *Server) ReloadKeys() error {
 	keys, err := loadKeys(s.settings)
 	if err == nil {
@@ -147,7 +150,7 @@
 	return err
 }
 
-// readPassword reads a file that nobody else may read.
+// readPassword returns the file's content without its line end, or an error if group or others have access to it.
 func readPassword(path string) (string, error) {
 	if path == "" {
 		return "", nil
@@ -170,8 +173,8 @@
 	s.streams = newStreams(s.settings)
 	s.metrics.registry.MustRegister(streamMetrics{s.streams})
 	s.grpc = grpc.NewServer(append(s.streams.options(),
-		grpc.MaxRecvMsgSize(maxRequest), grpc.MaxHeaderListSize(maxHeaders), grpc.MaxConcurrentStreams(uint32(s.settings.MaxStreams)),
-		experimental.BufferPool(mem.NewTieredBufferPool(1<<8, 1<<12, 1<<14, 1<<15, 1<<16, 1<<17, 1<<18, 1<<19, 1<<20)), // gRPC's own goes from 32 KiB to 1 MiB
+		grpc.MaxRecvMsgSize(maxRequestBytes), grpc.MaxHeaderListSize(maxMetadataBytes), grpc.MaxConcurrentStreams(uint32(s.settings.MaxStreams)),
+		experimental.BufferPool(mem.NewTieredBufferPool(1<<8, 1<<12, 1<<14, 1<<15, 1<<16, 1<<17, 1<<18, 1<<19, 1<<20)), // gRPC's default has no size between 32 KiB and 1 MiB
 		grpc.KeepaliveEnforcementPolicy(keepalive.EnforcementPolicy{MinTime: 5 * time.Second, PermitWithoutStream: true}),
 		grpc.KeepaliveParams(keepalive.ServerParameters{MaxConnectionIdle: 15 * time.Minute, Time: time.Minute,
 			Timeout: 10 * time.Second}),
@@ -182,79 +185,81 @@
 	reflection.Register(s.grpc)
 }
 
-// Addr is where clients are served.
+// Addr returns the address of the gRPC listener.
 func (s *Server) Addr() string { return s.listener.Addr().String() }
 
-// SetNodes replaces the list of db nodes. Who lacks in it is gone.
+// SetNodes replaces the list of database nodes. Nodes that it omits are removed.
 func (s *Server) SetNodes(nodes []settings.Node) {
 	s.mu.Lock()
 	s.nodes = nodes
 	s.mu.Unlock()
-	s.loop.inbox.Put(driver.Event{Kind: driver.EventList, List: balance.ListFull, Nodes: s.list()})
+	s.loop.inbox.Put(driver.Event{Kind: driver.EventList, List: balance.ListFull, Nodes: s.nodeList()})
 }
 
-func (s *Server) list() []driver.Node {
+func (s *Server) nodeList() []driver.Node {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	nodes := make([]driver.Node, len(s.nodes))
 	for i, n := range s.nodes {
 		nodes[i] = driver.Node{Name: n.Name, Address: n.Address, Slice: n.Slice, Hall: n.Hall, Life: n.Life, Instance: n.Instance}
 		if !n.Started.IsZero() {
-			nodes[i].Started = max(1, clockStart+n.Started.Sub(s.wall))
+			nodes[i].Started = max(1, clockStart+n.Started.Sub(s.startedAt))
 		}
 	}
 	return nodes
 }
 
-// nodeStates is what the engine knows of the nodes that are not gone. Its times become ages.
+// nodeStates returns the engine's nodes that are not removed, and the engine time to which their times relate. It
+// returns no nodes if ctx ends first.
 func (s *Server) nodeStates(ctx context.Context) (all []driver.NodeState, now time.Duration) {
-	s.loop.look(ctx, func(e *driver.Engine) { all = e.Nodes() }) // an error leaves none
+	s.loop.withEngine(ctx, func(e *driver.Engine) { all = e.Nodes() })
 	return all, s.loop.now()
 }
 
-// Run serves until ctx ends. Then it takes nothing new, answers what it holds within the settings' time, and
-// returns once every goroutine and connection of its own is gone. It may be called once.
+// Run serves until ctx ends, then refuses new requests, answers pending ones within the settings' stop time, and
+// returns when all its goroutines have ended and its connections are closed. It returns an error if gRPC or the
+// control socket fails. It may be called once.
 func (s *Server) Run(ctx context.Context) error {
-	life, end := context.WithCancel(context.Background())
-	defer end()
-	conns, all := errgroup.Group{}, errgroup.Group{}
+	runCtx, cancel := context.WithCancel(context.Background())
+	defer cancel()
+	conns, tasks := errgroup.Group{}, errgroup.Group{}
 	s.loop.work = &conns
-	s.loop.inbox.Put(driver.Event{Kind: driver.EventList, List: balance.ListCached, Nodes: s.list()})
-	all.Go(func() error { return s.loop.run(life) })
-	all.Go(func() error {
+	s.loop.inbox.Put(driver.Event{Kind: driver.EventList, List: balance.ListCached, Nodes: s.nodeList()})
+	tasks.Go(func() error { return s.loop.run(runCtx) })
+	tasks.Go(func() error {
 		if err := s.grpc.Serve(s.listener); err != nil && !errors.Is(err, grpc.ErrServerStopped) {
 			s.kill()
 			return fmt.Errorf("serving gRPC: %w", err)
 		}
 		return nil
 	})
-	all.Go(func() error { s.loop.front.watchMemory(life, s.settings.Memory); return nil })
-	if s.follow != nil {
-		all.Go(func() error { return s.follow.run(life, s.SetNodes) })
+	tasks.Go(func() error { s.loop.frontEnd.watchMemory(runCtx, s.settings.Memory); return nil })
+	if s.follower != nil {
+		tasks.Go(func() error { return s.follower.run(runCtx, s.SetNodes) })
 	}
-	stop, err := s.control(life, &all)
+	stop, err := s.control(runCtx, &tasks)
 	if err != nil {
-		s.log.Error("the control socket is not served: " + err.Error())
+		s.log.Error("control socket not available: " + err.Error())
 	}
-	all.Go(func() error { s.keepTopology(life); return nil })
-	web := s.serveMetrics(&all)
-	s.log.Info("driver serves", zap.String("grpc", s.Addr()), zap.Int("nodes", len(s.list())))
+	tasks.Go(func() error { s.saveTopologyChanges(runCtx); return nil })
+	httpServer := s.serveMetrics(&tasks)
+	s.log.Info("driver started", zap.String("grpc", s.Addr()), zap.Int("nodes", len(s.nodeList())))
 	select {
 	case <-ctx.Done():
 		s.drain()
 	case <-s.killed.Done():
 		s.grpc.Stop()
 	}
-	if web != nil {
-		web.Close()
+	if httpServer != nil {
+		httpServer.Close()
 	}
-	end()
+	cancel()
 	stop()
-	err = all.Wait()
+	err = tasks.Wait()
 	conns.Wait()
 	s.saveTopology(s.loop.engine.Topology())
 	if ctx.Err() != nil && s.killed.Err() == nil && s.settings.RouterTokens {
-		if e := keepSessions(s.settings.StateDir, s.loop.engine.Sessions(), time.Now()); e != nil {
+		if e := saveSessions(s.settings.StateDir, s.loop.engine.Sessions(), time.Now()); e != nil {
 			s.log.Error(e.Error())
 		}
 	}
@@ -262,7 +267,7 @@
 	return err
 }
 
-// drain answers what is held and lets clients go.
+// drain waits for the answers to pending requests, then closes the connections of clients.
 func (s *Server) drain() {
 	s.log.Info("driver is stopping", zap.Duration("within", s.settings.StopWithin))
 	s.health.Shutdown()
@@ -273,7 +278,7 @@
 	}
 	graceful := make(chan struct{})
 	go func() {
-		s.grpc.GracefulStop() // the answers given must still reach their clients
+		s.grpc.GracefulStop() // answers already given must still reach clients
 		close(graceful)
 	}()
 	select {
@@ -287,10 +292,10 @@
 	}
 }
 
-// Kill ends the driver at once, as if its process had died: nothing is answered.
+// Kill stops the driver at once, as if its process had died: pending requests get no answer.
 func (s *Server) Kill() { s.kill() }
 
-func (s *Server) serveMetrics(all *errgroup.Group) *http.Server {
+func (s *Server) serveMetrics(tasks *errgroup.Group) *http.Server {
 	if s.settings.ListenMetrics == "" {
 		return nil
 	}
@@ -299,12 +304,12 @@
 	mux.HandleFunc("/debug/pprof/", pprof.Index)
 	mux.HandleFunc("/debug/pprof/profile", pprof.Profile)
 	mux.HandleFunc("/debug/pprof/trace", pprof.Trace)
-	web := &http.Server{Addr: s.settings.ListenMetrics, Handler: mux, ReadHeaderTimeout: 5 * time.Second}
-	all.Go(func() error {
-		if err := web.ListenAndServe(); !errors.Is(err, http.ErrServerClosed) {
-			s.log.Error("metrics are not served: " + err.Error())
+	httpServer := &http.Server{Addr: s.settings.ListenMetrics, Handler: mux, ReadHeaderTimeout: 5 * time.Second}
+	tasks.Go(func() error {
+		if err := httpServer.ListenAndServe(); !errors.Is(err, http.ErrServerClosed) {
+			s.log.Error("metrics endpoint not available: " + err.Error())
 		}
 		return nil
 	})
-	return web
+	return httpServer
 }
--- a/server/server_test.go
+++ b/server/server_test.go
@@ -86,15 +86,15 @@
 		if try == 20 || status.Code(err) != codes.Unavailable {
 			t.Fatal(err)
 		}
-		time.Sleep(50 * time.Millisecond) // refused: harmless to try again
+		time.Sleep(50 * time.Millisecond) // refused, so a retry is harmless
 	}
 }
 
-// TestReadSeesOwnWrite: save, reload with the token, see it, whichever node answers.
+// TestReadSeesOwnWrite: a read with the token of a write sees the write, whichever node answers.
 func TestReadSeesOwnWrite(t *testing.T) {
 	f := newFleet(t, lab.Spec{})
 	for _, n := range f.Groups[0].Nodes()[1:] {
-		n.Lag(1e6) // from here on replicas stand still
+		n.Lag(1e6) // from here on the replicas replay nothing
 	}
 	res := must(t, f, writeReq("a", "saved"))
 	if res.CommandTag != "INSERT 0 1" || res.Served.Role != pb.Role_ROLE_PRIMARY || res.Token == "" {
@@ -141,7 +141,7 @@
 	}
 }
 
-// TestStatementErrors: the statement's own error is an answer, and the driver goes on.
+// TestStatementErrors: an error of the statement itself is returned as an answer, and the driver goes on serving.
 func TestStatementErrors(t *testing.T) {
 	f := newFleet(t, lab.Spec{})
 	must(t, f, readReq("desk-check", "a", ""))
@@ -170,7 +170,7 @@
 	}
 	must(t, f, readReq("stats", "a", ""))
 	if _, err := execute(t, f, series("stats", 50000)); status.Code(err) != codes.OutOfRange {
-		t.Errorf("a result over pool max-result: %v", err)
+		t.Errorf("result larger than pool max-result: %v", err)
 	}
 	s, err := f.Drivers[0].Client().ExecuteStream(t.Context(), series("stats", 50000))
 	if err != nil {
@@ -187,12 +187,12 @@
 		}
 		if row := chunk.GetRow(); row != nil {
 			if n := row.Values[0].GetIntValue(); n != last+1 {
-				t.Fatalf("row %d after %d", n, last)
+				t.Fatalf("got row %d after row %d", n, last)
 			}
 			last++
 		}
 		if end := chunk.GetEnd(); end != nil && end.Rows != 50000 {
-			t.Errorf("the end says %d rows", end.Rows)
+			t.Errorf("the end reports %d rows", end.Rows)
 		}
 	}
 	if last != 50000 {
@@ -203,9 +203,9 @@
 		_, err = ws.Recv()
 	}
 	if status.Code(err) != codes.InvalidArgument {
-		t.Errorf("a streamed write: %v", err)
+		t.Errorf("streamed write: %v", err)
 	}
-	// A reader that leaves in the midst must not leave its connection behind; the fleet's end looks for it.
+	// A client that cancels midway must not leave its connection behind; the fleet's cleanup checks that.
 	ctx, cancel := context.WithCancel(t.Context())
 	s, err = f.Drivers[0].Client().ExecuteStream(ctx, series("stats", 500000))
 	if err != nil {
@@ -219,8 +219,9 @@
 	cancel()
 }
 
-// TestStopWithHeldRequests: SIGTERM's way. What is held is answered, nothing new is taken, it ends in time.
-func TestStopWithHeldRequests(t *testing.T) {
+// TestStopAnswersPendingRequests: after Stop (the effect of SIGTERM) pending requests are answered, new ones are
+// refused, and the driver ends in time.
+func TestStopAnswersPendingRequests(t *testing.T) {
 	f := newFleet(t, lab.Spec{Extra: ""})
 	must(t, f, writeReq("a", "first"))
 	p := f.Groups[0].Primary()
@@ -237,7 +238,7 @@
 	}
 	held.Wait()
 	if err != nil {
-		t.Errorf("the held write: %v", err)
+		t.Errorf("the pending write: %v", err)
 	}
 }
 
@@ -250,7 +251,7 @@
 	return false
 }
 
-// TestHealthAndDeadline: the health service answers; a client's own deadline bounds the call.
+// TestHealthAndDeadline: the health service reports SERVING, and a client's own deadline bounds its call.
 func TestHealthAndDeadline(t *testing.T) {
 	f := newFleet(t, lab.Spec{})
 	must(t, f, writeReq("a", "x"))
@@ -268,12 +269,12 @@
 	defer cancel()
 	_, err = f.Drivers[0].Client().Execute(ctx, writeReq("a", "y"))
 	if st := status.Convert(err); st.Code() != codes.Unknown || !strings.Contains(st.Message(), "may have run") {
-		t.Errorf("a write at a hung primary: %v", err)
+		t.Errorf("write at a hung primary: %v", err)
 	}
 }
 
-// peer is a db node of a test that speaks as it likes.
-func peer(t *testing.T, talk func(nc net.Conn)) string {
+// newPeer starts a database node whose connections are handled by talk, and returns its address.
+func newPeer(t *testing.T, talk func(nc net.Conn)) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -298,8 +299,8 @@
 	return l.Addr().String()
 }
 
-// greet takes a startup packet and lets the driver in, up to its first question.
-func greet(nc net.Conn) *pgwire.Reader {
+// acceptLogin reads a startup packet and accepts the login, up to the driver's first query.
+func acceptLogin(nc net.Conn) *pgwire.Reader {
 	r := pgwire.NewReader(nc, 0)
 	if _, err := r.NextStartup(); err != nil {
 		return r
@@ -315,8 +316,8 @@
 	return r
 }
 
-// TestStrangePeers: nodes that send garbage, half a message, a length of 2 GB, or nothing. The driver names
-// them in its log, the others go on serving, and nothing is left behind.
+// TestStrangePeers: nodes send garbage, half a message, a length of 2 GB, or nothing. The driver names them in its
+// log, the other nodes keep serving, and no connection or goroutine is left.
 func TestStrangePeers(t *testing.T) {
 	huge := binary.BigEndian.AppendUint32([]byte{'D'}, 2<<30-1)
 	half := pgwire.AppendDataRow(nil, [][]byte{[]byte("t"), []byte("0/40"), []byte("1")})
@@ -326,16 +327,20 @@
 		talk func(nc net.Conn)
 	}{
 		{"garbage at once", "", func(nc net.Conn) { nc.Write([]byte("HTTP/1.1 400 Bad Request\r\n\r\n")) }},
-		{"garbage for facts", "in the answer to the facts", func(nc net.Conn) { greet(nc).Next(); nc.Write(pgwire.AppendEmpty(nil, '?')); io.Copy(io.Discard, nc) }},
-		{"half a message", "", func(nc net.Conn) { greet(nc).Next(); nc.Write(half[:len(half)-3]) }},
-		{"a length of 2 GB", "over the limit", func(nc net.Conn) { greet(nc).Next(); nc.Write(huge); io.Copy(io.Discard, nc) }},
+		{"garbage for facts", "in the answer to the facts", func(nc net.Conn) {
+			acceptLogin(nc).Next()
+			nc.Write(pgwire.AppendEmpty(nil, '?'))
+			io.Copy(io.Discard, nc)
+		}},
+		{"half a message", "", func(nc net.Conn) { acceptLogin(nc).Next(); nc.Write(half[:len(half)-3]) }},
+		{"a length of 2 GB", "over the limit", func(nc net.Conn) { acceptLogin(nc).Next(); nc.Write(huge); io.Copy(io.Discard, nc) }},
 		{"facts of one column", "7 wanted", func(nc net.Conn) {
-			greet(nc).Next()
+			acceptLogin(nc).Next()
 			nc.Write(pgwire.AppendDataRow(pgwire.AppendEmpty(nil, pgwire.MsgBindComplete), [][]byte{[]byte("t")}))
 			io.Copy(io.Discard, nc)
 		}},
 		{"an answer to nothing", "nothing was asked", func(nc net.Conn) {
-			greet(nc)
+			acceptLogin(nc)
 			nc.Write(pgwire.AppendCommandComplete(nil, "X"))
 			io.Copy(io.Discard, nc)
 		}},
@@ -344,7 +349,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			core, logs := observer.New(zapcore.WarnLevel)
 			f := newFleet(t, lab.Spec{Log: zap.New(core)})
-			addr := peer(t, c.talk)
+			addr := newPeer(t, c.talk)
 			f.Add(settings.Node{Name: "strange", Address: addr, Slice: "slice0", Hall: "reykjavik-a"})
 			for range 30 {
 				must(t, f, readReq("stats", "a", ""))
@@ -360,7 +365,7 @@
 					}
 				}
 				if try == 100 {
-					t.Fatalf("no line names the node and %q: %v", c.log, logs.All())
+					t.Fatalf("no log line names the node and %q: %v", c.log, logs.All())
 				}
 				time.Sleep(20 * time.Millisecond)
 			}
@@ -368,8 +373,8 @@
 	}
 }
 
-// TestAskedByParameters: nodes that tell role and position by parameters are not asked by statements.
-func TestAskedByParameters(t *testing.T) {
+// TestFactsByParameters: nodes that report role and position as parameters are not queried for them.
+func TestFactsByParameters(t *testing.T) {
 	cfg := lab.SmallNode
 	cfg.Params = true
 	f := newFleet(t, lab.Spec{Node: cfg})
@@ -380,12 +385,12 @@
 	must(t, f, readReq("article-read", "a", ""))
 	for _, s := range f.Trace.Statements() {
 		if s.Kind == standin.KindFacts {
-			t.Fatal("a node was asked by a statement")
+			t.Fatal("a node was queried for its facts")
 		}
 	}
 }
 
-// TestPasswords: SCRAM with the right one works, a wrong one is said in the log, a file open to others is refused.
+// TestPasswords: SCRAM with the right password works, and a password file that others can read is refused.
 func TestPasswords(t *testing.T) {
 	cfg := lab.SmallNode
 	cfg.Password = "leyndarmál"
@@ -400,29 +405,30 @@
 	}
 	s.PasswordFile = path + "2"
 	if _, err := server.New(s, zap.NewNop(), 1); err == nil || !strings.Contains(err.Error(), "make it 0600") {
-		t.Errorf("a password file open to others: %v", err)
+		t.Errorf("password file readable by others: %v", err)
 	}
 }
 
-// TestRepeatableRead: where transactions are repeatable read by default, a read's snapshot must not be taken with the
-// question for the place, or the answer lacks what its place claims. The replicas stand still in between.
+// TestRepeatableRead: if transactions are repeatable read by default, a read's snapshot must not be taken together
+// with the query for the position, or the answer lacks writes before the position that it claims. The replicas replay
+// nothing between the two.
 func TestRepeatableRead(t *testing.T) {
 	node := lab.SmallNode
 	node.Repeatable, node.Cores, node.Read = true, 4, 60*time.Millisecond
 	f := newFleet(t, lab.Spec{Node: node})
 	must(t, f, writeReq("a", "one"))
 	for range 6 {
-		must(t, f, readReq("stats", "a", "")) // so that a node that stands still for a while does not seem hung
+		must(t, f, readReq("stats", "a", "")) // so that a node that pauses for a while does not seem hung
 	}
 	res, w := readAcrossAWrite(t, f)
 	if value := res.Rows[0].Values[0].GetTextValue(); res.Served.Lsn >= w.Served.Lsn && value != "two" {
-		t.Errorf("it saw %q, older than the place %d that it claims; the write is at %d", value, res.Served.Lsn, w.Served.Lsn)
+		t.Errorf("the read saw %q, older than its claimed position %d; the write is at %d", value, res.Served.Lsn, w.Served.Lsn)
 	} else if res.Served.Lsn < w.Served.Lsn {
-		t.Errorf("it stands at %d, before the write at %d: nothing was shown", res.Served.Lsn, w.Served.Lsn)
+		t.Errorf("the read is at position %d, before the write at %d: the test shows nothing", res.Served.Lsn, w.Served.Lsn)
 	}
 }
 
-// readAcrossAWrite has a read reach the replicas, which stand still, and a write commit before they go on.
+// readAcrossAWrite sends a read to the paused replicas, and commits a write before they go on.
 func readAcrossAWrite(t *testing.T, f *lab.Fleet) (read, write *pb.ExecuteResponse) {
 	t.Helper()
 	for _, n := range f.Groups[0].Nodes()[1:] {
@@ -449,8 +455,8 @@
 	return read, write
 }
 
-// TestIsolationChanged: a client's statement makes the transactions of a connection repeatable read. What comes on
-// it next is not handed out, the connection goes, and a line says why.
+// TestIsolationChanged: a client's statement makes the transactions of a connection repeatable read. The next answer
+// on that connection is not delivered, the connection is closed, and a log line gives the cause.
 func TestIsolationChanged(t *testing.T) {
 	core, logs := observer.New(zapcore.WarnLevel)
 	f := newFleet(t, lab.Spec{Log: zap.New(core)})
@@ -466,13 +472,13 @@
 		}
 	}
 	if n := logs.FilterMessageSnippet("its transactions are repeatable read").Len(); n == 0 {
-		t.Errorf("no line says that a statement changed the isolation: %v", logs.All())
+		t.Errorf("no log line reports that a statement changed the isolation: %v", logs.All())
 	}
 }
 
-// TestFloodAtTheDoor: one client floods; what is refused is refused before the loop hears of it, with advice and the
-// reason, and another client is served meanwhile.
-func TestFloodAtTheDoor(t *testing.T) {
+// TestFloodIsRefusedAtAdmission: one client sends far too many requests. They are refused before they reach the loop,
+// with a retry delay and the reason, and another client is served meanwhile.
+func TestFloodIsRefusedAtAdmission(t *testing.T) {
 	node := lab.SmallNode
 	node.Read = 20 * time.Millisecond
 	f := newFleet(t, lab.Spec{Node: node, Extra: "admission {\n    start 16\n}\n"})
@@ -538,15 +544,15 @@
 	end()
 	flood.Wait()
 	if refused < 100 || unadvised > 0 || odd > 0 {
-		t.Errorf("%d refused at the door, %d of them without advice, %d errors of other kinds", refused, unadvised, odd)
+		t.Errorf("%d refused at admission, %d of them without a retry delay, %d errors of other kinds", refused, unadvised, odd)
 	}
 	if served < 20 || served*asked < (asked-refused)*calls {
-		t.Errorf("%d of %d calls were served beside the flood, of its own %d of %d", served, calls, asked-refused, asked)
+		t.Errorf("%d of %d calls of the other client were served, and %d of %d of the flooding client", served, calls, asked-refused, asked)
 	}
 }
 
-// TestClientThatDoesNotRead: its streamed answer is ended after the stall, and with it what it held of a db node. Clients
-// that read are not troubled, whatever they take for it.
+// TestClientThatDoesNotRead: the streamed answer of a client that does not read ends after the stall time, and its
+// node connection is free again. Slow clients that do read are not affected.
 func TestClientThatDoesNotRead(t *testing.T) {
 	f := newFleet(t, lab.Spec{Extra: "admission {\n    stall 300ms\n}\n"})
 	out := func() (n int) {
@@ -561,7 +567,7 @@
 	defer cancel()
 	var idle []pb.Driver_ExecuteStreamClient
 	for range 5 {
-		until(t, "a stream begins", func() bool { // a refusal is no fault: nothing ran
+		until(t, "a stream begins", func() bool { // a refusal is allowed: nothing ran
 			s, err := f.Drivers[0].Client().ExecuteStream(ctx, seriesReq(400000))
 			if err != nil {
 				t.Fatal(err)
@@ -575,7 +581,7 @@
 		})
 	}
 	if out() == 0 {
-		t.Error("nothing is under way at the nodes")
+		t.Error("no read is in flight at the nodes")
 	}
 	until(t, "the nodes are free of clients that do not read", func() bool { return out() == 0 })
 	for _, s := range idle {
@@ -584,7 +590,7 @@
 			_, err = s.Recv()
 		}
 		if status.Code(err) != codes.ResourceExhausted {
-			t.Errorf("a stream ended with %v", err)
+			t.Errorf("a stream ended with: %v", err)
 		}
 	}
 	slow, err := f.Drivers[0].Client().ExecuteStream(t.Context(), seriesReq(30000))
@@ -595,7 +601,7 @@
 		if _, err := slow.Recv(); err == io.EOF {
 			break
 		} else if err != nil {
-			t.Fatalf("after %d: %v", rows, err)
+			t.Fatalf("after %d rows: %v", rows, err)
 		}
 		if rows%10000 == 0 {
 			time.Sleep(100 * time.Millisecond)
--- a/server/service.go
+++ b/server/service.go
@@ -23,7 +23,7 @@
 	"umberladder/token"
 )
 
-// service is the gRPC face of a driver.
+// service implements the driver's gRPC service.
 type service struct {
 	pb.UnimplementedDriverServer
 	loop     *loop
@@ -32,7 +32,7 @@
 	keys     *atomic.Pointer[token.Keyring]
 }
 
-// scope is what tokens are bound to: the session, where the settings say so.
+// scope returns the session that tokens are bound to, or "" if the settings don't bind them.
 func (s *service) scope(req *pb.ExecuteRequest) string {
 	if s.settings.TokenScope {
 		return req.Session
@@ -47,22 +47,22 @@
 		return nil, err
 	}
 	began := time.Now()
-	a, err := s.admitted(ctx, req, ask, c, nil)
-	s.metrics.answered(req.Class, a, err, time.Since(began))
+	a, err := s.admitAndAwait(ctx, req, ask, c, nil)
+	s.metrics.observeAnswer(req.Class, a, err, time.Since(began))
 	if err != nil {
 		return nil, err
 	}
 	rep := a.Payload.(*reply)
 	switch {
-	case rep.fault != nil:
-		return nil, sqlStatus(rep.fault)
+	case rep.sqlError != nil:
+		return nil, sqlStatus(rep.sqlError)
 	case rep.tooBig:
 		return nil, detailed(codes.OutOfRange, "the result is larger than pool max-result; read it with ExecuteStream",
 			info(reasonSize, nil))
-	case rep.noRoom:
-		return nil, s.noRoom("answers on their way to clients take up admission answer-bytes; come back, or read it with ExecuteStream")
+	case rep.noMemory:
+		return nil, s.noMemory("answers in flight to clients use all of admission answer-bytes; retry later, or read it with ExecuteStream")
 	}
-	return &pb.ExecuteResponse{Columns: columnsOf(rep.cols), Rows: rep.rows, CommandTag: rep.done,
+	return &pb.ExecuteResponse{Columns: columnsOf(rep.cols), Rows: rep.rows, CommandTag: rep.commandTag,
 		Token: s.keys.Load().Sign(a.Token, s.scope(req)), Holds: a.Holds.String(), Validator: validatorOf(req, &a), Served: servedOf(&a)}, nil
 }
 
@@ -80,64 +80,64 @@
 	c.ctx, c.opened = ctx, make(chan opening, 1)
 	began := time.Now()
 	var rows uint64
-	to := newPaced(out, s.settings.StreamStall)
-	sent := false
+	sender := newChunkSender(out, s.settings.StreamStall)
+	ended := false
 	defer func() {
-		if !sent {
-			close(to.chunks)
+		if !ended {
+			close(sender.chunks)
 		}
 	}()
-	a, err := s.admitted(ctx, req, ask, c, func(o *opening, row *pb.Row, gone func()) error {
+	a, err := s.admitAndAwait(ctx, req, ask, c, func(o *opening, row *pb.Row, onSent func()) error {
 		if o != nil {
-			return to.send(&pb.ExecuteChunk{Part: &pb.ExecuteChunk_Columns_{Columns: &pb.ExecuteChunk_Columns{
+			return sender.send(&pb.ExecuteChunk{Part: &pb.ExecuteChunk_Columns_{Columns: &pb.ExecuteChunk_Columns{
 				Columns: columnsOf(o.stream.cols), Served: servedOf(&o.answer)}}}, nil)
 		}
 		rows++
-		return to.send(&pb.ExecuteChunk{Part: &pb.ExecuteChunk_Row{Row: row}}, gone)
+		return sender.send(&pb.ExecuteChunk{Part: &pb.ExecuteChunk_Row{Row: row}}, onSent)
 	})
-	s.metrics.answered(req.Class, a, err, time.Since(began))
+	s.metrics.observeAnswer(req.Class, a, err, time.Since(began))
 	if err != nil {
 		return err
 	}
 	st := a.Payload.(*stream)
-	if st.fault != nil {
-		return sqlStatus(st.fault)
+	if st.sqlError != nil {
+		return sqlStatus(st.sqlError)
 	}
-	if err := to.send(&pb.ExecuteChunk{Part: &pb.ExecuteChunk_End_{End: &pb.ExecuteChunk_End{
-		CommandTag: st.done, Token: s.keys.Load().Sign(a.Token, s.scope(req)), Holds: a.Holds.String(), Rows: rows}}}, nil); err != nil {
+	if err := sender.send(&pb.ExecuteChunk{Part: &pb.ExecuteChunk_End_{End: &pb.ExecuteChunk_End{
+		CommandTag: st.commandTag, Token: s.keys.Load().Sign(a.Token, s.scope(req)), Holds: a.Holds.String(), Rows: rows}}}, nil); err != nil {
 		return err
 	}
-	sent = true
-	return to.end()
+	ended = true
+	return sender.end()
 }
 
-// admitted lets a call past the gate and awaits its final answer. An error is the status to return.
-func (s *service) admitted(ctx context.Context, req *pb.ExecuteRequest, ask driver.Ask, c *call, pass passing) (driver.Answer, error) {
-	t, refusal := s.loop.front.arrive(ctx, req, ask.Class)
+// admitAndAwait admits a call at the gate and waits for its final answer. A returned error is the gRPC status.
+func (s *service) admitAndAwait(ctx context.Context, req *pb.ExecuteRequest, ask driver.Ask, c *call, forward forwardFunc) (driver.Answer, error) {
+	t, refusal := s.loop.frontEnd.admit(ctx, req, ask.Class)
 	if refusal != nil {
 		return *refusal, statusOf(refusal)
 	}
-	a, err := s.await(ctx, ask, c, pass)
-	s.loop.front.leave(t, &a, err)
+	a, err := s.await(ctx, ask, c, forward)
+	s.loop.frontEnd.release(t, &a, err)
 	return a, err
 }
 
-// await hands a call to the loop and waits for its final answer, passing a streamed one on as it comes. An
-// error is the status to return.
-func (s *service) await(ctx context.Context, ask driver.Ask, c *call, pass passing) (driver.Answer, error) {
+// await passes a call to the loop and waits for its final answer. It forwards the rows of a streamed answer as they
+// arrive. A returned error is the gRPC status.
+func (s *service) await(ctx context.Context, ask driver.Ask, c *call, forward forwardFunc) (driver.Answer, error) {
 	id, ok := s.loop.calls.Add(c)
 	if !ok {
 		a := driver.Answer{Status: driver.Refused, Cause: driver.CauseStopping}
 		return a, statusOf(&a)
 	}
 	s.loop.inbox.Put(driver.Event{Kind: driver.EventRequest, Request: id, Ask: ask})
-	var rows chan aheadRow
+	var rows chan queuedRow
 	var full chan struct{}
-	// The loop answers in time, unless it is late itself. Then the answer is given here, and the loop sends nothing for
-	// a call that is no longer in its table.
-	overdue := time.NewTimer(ask.Deadline - s.settings.AnswerMargin/4 - s.loop.now())
-	defer overdue.Stop()
-	leave := func(err error) (driver.Answer, error) {
+	// The loop answers within the deadline unless it is itself late. Then the answer is given here, and the loop
+	// sends nothing for a call that is no longer in its table.
+	lateTimer := time.NewTimer(ask.Deadline - s.settings.AnswerMargin/4 - s.loop.now())
+	defer lateTimer.Stop()
+	abandon := func(err error) (driver.Answer, error) {
 		s.loop.calls.Drop(id)
 		s.loop.inbox.Put(driver.Event{Kind: driver.EventLeft, Request: id})
 		return driver.Answer{}, err
@@ -145,54 +145,57 @@
 	for {
 		select {
 		case o := <-c.opened:
-			rows, full, c.from = o.stream.rowsCh, o.stream.full, o.stream
-			if err := pass(&o, nil, nil); err != nil {
-				return leave(err)
+			rows, full, c.stream = o.stream.rowsCh, o.stream.full, o.stream
+			if err := forward(&o, nil, nil); err != nil {
+				return abandon(err)
 			}
 		case row := <-rows:
-			if err := c.take(&row, pass); err != nil {
-				return leave(err)
+			if err := c.forwardRow(&row, forward); err != nil {
+				return abandon(err)
 			}
 		case <-full:
-			return leave(s.noRoom("other streams' long rows take up admission answer-bytes; come back"))
+			return abandon(s.noMemory("long rows of other streams use all of admission answer-bytes; retry later"))
 		case a := <-c.final:
-			return a, s.finish(c, &a, rows, pass)
-		case <-overdue.C:
+			return a, s.forwardRemaining(c, &a, rows, forward)
+		case <-lateTimer.C:
 			if rows != nil {
-				continue // it has begun, and belongs to the client
+				continue // the streamed answer has begun
 			}
-			a := s.overdue(ask.Class)
-			leave(nil)
+			a := s.lateAnswer(ask.Class)
+			abandon(nil)
 			return a, statusOf(&a)
 		case <-ctx.Done():
-			return leave(status.FromContextError(ctx.Err()).Err())
+			return abandon(status.FromContextError(ctx.Err()).Err())
 		}
 	}
 }
 
-// noRoom refuses a read whose answer there is no memory for.
-func (s *service) noRoom(why string) error {
-	again := s.settings.MaxRetryAfter/4 + rand.N(s.settings.MaxRetryAfter/2+1)
-	return detailed(codes.ResourceExhausted, "refused: "+why, info(reasonRefused, nil), &errdetails.RetryInfo{RetryDelay: durationpb.New(again)})
+// noMemory returns the refusal of a read whose answer exceeds the memory for answers. The retry delay is random
+// between a quarter and three quarters of the maximum.
+func (s *service) noMemory(reason string) error {
+	delay := s.settings.MaxRetryAfter/4 + rand.N(s.settings.MaxRetryAfter/2+1)
+	return detailed(codes.ResourceExhausted, "refused: "+reason, info(reasonRefused, nil), &errdetails.RetryInfo{RetryDelay: durationpb.New(delay)})
 }
 
-// overdue is the answer to a call that the loop has not answered: what is safe to repeat is refused.
-func (s *service) overdue(class int) driver.Answer {
+// lateAnswer returns the answer to a call that the loop has not answered in time: refused if the class is safe to
+// repeat, otherwise failed.
+func (s *service) lateAnswer(class int) driver.Answer {
 	if s.settings.Classes[class].Effect == balance.Safe {
 		return driver.Answer{Status: driver.Refused, Cause: driver.CauseLate, RetryAfter: s.settings.MaxRetryAfter / 2}
 	}
 	return driver.Answer{Status: driver.Failed, Cause: driver.CauseLate}
 }
 
-// finish passes on what a streamed answer still holds; its end was told after its last row.
-func (s *service) finish(c *call, a *driver.Answer, rows chan aheadRow, pass passing) error {
+// forwardRemaining forwards the queued rows of a streamed answer. The loop reports the end after the last row is
+// queued.
+func (s *service) forwardRemaining(c *call, a *driver.Answer, rows chan queuedRow, forward forwardFunc) error {
 	if c.ctx == nil || a.Status != driver.Served {
 		return statusOf(a)
 	}
 	select {
 	case o := <-c.opened:
-		rows, c.from = o.stream.rowsCh, o.stream
-		if err := pass(&o, nil, nil); err != nil {
+		rows, c.stream = o.stream.rowsCh, o.stream
+		if err := forward(&o, nil, nil); err != nil {
 			return err
 		}
 	default:
@@ -200,7 +203,7 @@
 	for rows != nil {
 		select {
 		case row := <-rows:
-			if err := c.take(&row, pass); err != nil {
+			if err := c.forwardRow(&row, forward); err != nil {
 				return err
 			}
 		default:
@@ -210,7 +213,7 @@
 	return nil
 }
 
-// prepare checks a request and turns it into what engine and connection need.
+// prepare validates a request and converts it for the engine and the node connection.
 func (s *service) prepare(ctx context.Context, req *pb.ExecuteRequest) (driver.Ask, *call, error) {
 	class := slices.IndexFunc(s.settings.Classes, func(c settings.Class) bool { return c.Name == req.Class })
 	if class < 0 {
@@ -218,11 +221,11 @@
 	}
 	ask := driver.Ask{Class: class, Slice: req.Slice, Session: req.Session}
 	var err error
-	if ask.Token, ask.Lost, err = s.takeToken(req.Token, s.scope(req)); err != nil {
+	if ask.Token, ask.Lost, err = s.verifyToken(req.Token, s.scope(req)); err != nil {
 		return ask, nil, err
 	}
-	c := &call{most: s.settings.MaxResult, final: make(chan driver.Answer, 1)}
-	if c.st, err = s.statement(req, &s.settings.Classes[class]); err != nil {
+	c := &call{maxResultBytes: s.settings.MaxResult, final: make(chan driver.Answer, 1)}
+	if c.stmt, err = s.newStatement(req, &s.settings.Classes[class]); err != nil {
 		return ask, nil, err
 	}
 	ask.Deadline, err = s.deadline(ctx, req, &s.settings.Classes[class])
@@ -237,9 +240,9 @@
 	return strings.Join(names, ", ")
 }
 
-// takeToken reads the token of a request, or several that a carrier put together. lost tells that one was lost
-// on the way.
-func (s *service) takeToken(text, scope string) (t token.Token, lost bool, err error) {
+// verifyToken verifies a request's token, or several that a client merged into one. lost reports that a token was
+// lost in transit.
+func (s *service) verifyToken(text, scope string) (t token.Token, lost bool, err error) {
 	t, lost, err = s.keys.Load().VerifyAll(text, scope)
 	if err != nil {
 		return t, lost, badRequest("token", "%s", strings.TrimPrefix(err.Error(), "token: "))
@@ -247,15 +250,15 @@
 	return t, lost, nil
 }
 
-func (s *service) statement(req *pb.ExecuteRequest, class *settings.Class) (statement, error) {
+func (s *service) newStatement(req *pb.ExecuteRequest, class *settings.Class) (statement, error) {
 	switch {
 	case req.Slice == "":
 		return statement{}, badRequest("slice", "is empty")
-	case strings.TrimSpace(req.Statement) == "" || !plainText(req.Statement):
+	case strings.TrimSpace(req.Statement) == "" || !encodable(req.Statement):
 		return statement{}, badRequest("statement", "is empty or holds a zero byte")
 	case class.Effect == balance.Keyed && req.IdempotencyKey == "":
-		return statement{}, badRequest("idempotency_key", "class %q is keyed and wants one", class.Name)
-	case !plainText(req.IdempotencyKey):
+		return statement{}, badRequest("idempotency_key", "class %q is keyed and requires one", class.Name)
+	case !encodable(req.IdempotencyKey):
 		return statement{}, badRequest("idempotency_key", "holds a zero byte")
 	case len(req.Parameters) > 65534:
 		return statement{}, badRequest("parameters", "there are %d, 65534 at most", len(req.Parameters))
@@ -274,7 +277,8 @@
 	return st, nil
 }
 
-// deadline is when the client gives up: by its call's deadline, its wish, or the class's.
+// deadline returns the engine time at which the client gives up: the earliest of the call's deadline, the request's
+// timeout and the class's deadline.
 func (s *service) deadline(ctx context.Context, req *pb.ExecuteRequest, class *settings.Class) (time.Duration, error) {
 	wait := class.Deadline
 	if at, ok := ctx.Deadline(); ok {
@@ -282,15 +286,15 @@
 	}
 	if req.Timeout != nil {
 		if err := req.Timeout.CheckValid(); err != nil || req.Timeout.AsDuration() <= 0 {
-			return 0, badRequest("timeout", "is no time above zero")
+			return 0, badRequest("timeout", "is not greater than zero")
 		}
 		wait = min(wait, req.Timeout.AsDuration())
 	}
 	return s.loop.now() + wait, nil
 }
 
-// validatorOf names what an answer was made of: slice, class, statement, parameters and place. Equal validators
-// stand for equal answers as far as the driver can tell; it is safe as an ETag.
+// validatorOf returns a hash of slice, class, statement and parameters, with the position of the answer. Equal
+// validators mean equal answers as far as the driver can know, so it may serve as an ETag.
 func validatorOf(req *pb.ExecuteRequest, a *driver.Answer) string {
 	h := xxhash.New()
 	fmt.Fprintf(h, "%s\x00%s\x00%s\x00", req.Slice, req.Class, req.Statement)
--- a/server/sessions.go
+++ b/server/sessions.go
@@ -17,12 +17,12 @@
 )
 
 const (
-	sessionsName  = "sessions.last"
+	sessionsFile  = "sessions.last"
 	sessionsMagic = "umbses\x00\x01"
 
-	// sessionsFresh is how old a snapshot may be that is taken for whole. An older one may have been put back by
-	// hand, and the driver may have answered since.
-	sessionsFresh = time.Minute
+	// maxSessionsAge is the maximum age of a snapshot that counts as complete. An older one may have been restored by
+	// hand, and the driver may have answered requests since.
+	maxSessionsAge = time.Minute
 )
 
 type storedSessions struct {
@@ -30,8 +30,8 @@
 	State *driver.SessionState `cbor:"2,keyasint"`
 }
 
-// keepSessions saves what a driver that stopped in order knew of sessions.
-func keepSessions(dir string, st *driver.SessionState, now time.Time) error {
+// saveSessions saves the session state of a driver that stopped in order.
+func saveSessions(dir string, st *driver.SessionState, now time.Time) error {
 	if dir == "" {
 		return nil
 	}
@@ -40,17 +40,17 @@
 		return fmt.Errorf("sessions: %w", err)
 	}
 	text := append([]byte(sessionsMagic), body...)
-	return inventory.ReplaceFile(filepath.Join(dir, sessionsName), binary.BigEndian.AppendUint64(text, xxhash.Sum64(text)))
+	return inventory.ReplaceFile(filepath.Join(dir, sessionsFile), binary.BigEndian.AppendUint64(text, xxhash.Sum64(text)))
 }
 
-// takeSessions reads what an earlier life knew, and takes the file away: it serves once, as this life will
-// answer more. whole is false where writes may be missing: after a crash, with an old or a damaged file. Then
-// the engine guards every session that it doesn't remember.
-func takeSessions(dir string, now time.Time) (st *driver.SessionState, whole bool, err error) {
+// loadSessions reads the session state that a previous process saved, and removes the file, because it is out of date
+// as soon as this process answers a request. whole is false if writes may be missing: after a crash, or with an old
+// or damaged file. Then the engine guards every session that it has no record of.
+func loadSessions(dir string, now time.Time) (st *driver.SessionState, whole bool, err error) {
 	if dir == "" {
 		return nil, false, nil
 	}
-	path := filepath.Join(dir, sessionsName)
+	path := filepath.Join(dir, sessionsFile)
 	text, err := os.ReadFile(path)
 	if errors.Is(err, fs.ErrNotExist) {
 		return nil, false, nil
@@ -63,12 +63,12 @@
 	}
 	n := len(sessionsMagic)
 	if len(text) < n+8 || string(text[:n]) != sessionsMagic || xxhash.Sum64(text[:len(text)-8]) != binary.BigEndian.Uint64(text[len(text)-8:]) {
-		return nil, false, fmt.Errorf("sessions: %s is damaged and not taken; sessions are guarded instead", path)
+		return nil, false, fmt.Errorf("sessions: %s is damaged and not used; sessions are guarded instead", path)
 	}
 	var stored storedSessions
 	if err := cbor.Unmarshal(text[n:len(text)-8], &stored); err != nil {
 		return nil, false, fmt.Errorf("sessions: %s: %w", path, err)
 	}
 	age := now.Sub(time.Unix(0, stored.Taken))
-	return stored.State, age >= 0 && age < sessionsFresh, nil
+	return stored.State, age >= 0 && age < maxSessionsAge, nil
 }
--- a/server/status.go
+++ b/server/status.go
@@ -16,7 +16,7 @@
 // errorDomain is the domain of each google.rpc.ErrorInfo that the driver sends.
 const errorDomain = "umberladder"
 
-// Reasons of google.rpc.ErrorInfo. REFUSED promises that nothing ran, or that what ran may be repeated.
+// Reasons of google.rpc.ErrorInfo. REFUSED guarantees that nothing ran, or that the statement is safe to repeat.
 const (
 	reasonRefused = "REFUSED"
 	reasonFailed  = "FAILED"
@@ -25,11 +25,12 @@
 	reasonStalled = "NOT_READ"
 )
 
-// tokenReasons are the reasons of refusals for which another try with the same token is of no use.
+// tokenReasons holds the reasons of refusals for which a retry with the same token is of no use.
 var tokenReasons = map[driver.Cause]string{driver.CauseTokenless: "TOKEN_MISSING", driver.CauseTokenLost: "TOKEN_LOST",
 	driver.CauseTokenAhead: "TOKEN_AHEAD"}
 
-// statusOf maps a final answer that is no success to a gRPC status. docs/outcomes.md has the table.
+// statusOf returns the gRPC status of a refused or failed answer, nil for a served one. docs/outcomes.md has the
+// table.
 func statusOf(a *driver.Answer) error {
 	switch a.Status {
 	case driver.Refused:
@@ -59,7 +60,7 @@
 	return nil
 }
 
-// sqlStatus maps the statement's own error. Its transaction was rolled back.
+// sqlStatus returns the gRPC status of the statement's own error. Its transaction was rolled back.
 func sqlStatus(e *pgwire.Error) error {
 	code := codes.Internal
 	switch e.Code[:2] {
@@ -82,7 +83,7 @@
 	case "42501":
 		code = codes.PermissionDenied
 	}
-	return detailed(code, fmt.Sprintf("the db node answered: %s", e.Error()), info(reasonSQL,
+	return detailed(code, fmt.Sprintf("the database node answered: %s", e.Error()), info(reasonSQL,
 		map[string]string{"sqlstate": e.Code, "detail": e.Detail, "hint": e.Hint}))
 }
 
--- a/server/streams.go
+++ b/server/streams.go
@@ -15,45 +15,46 @@
 	"umberladder/settings"
 )
 
-// streamCost is about what gRPC spends on a call or watch that is open, its goroutine included, in bytes: measured with
-// 50,000 of them.
-const streamCost = 12 << 10
+// streamBytes is about what gRPC spends on an open call or watch, its goroutine included (measured with 50,000 of
+// them).
+const streamBytes = 12 << 10
 
-// streams bounds the calls and watches that are open, before gRPC has spent anything on them. Watches, which may stay
-// for days, have half of it, so that they never stand in the way of calls.
+// streams bounds the number of open calls and watches, before gRPC allocates memory for them. Watches may last for
+// days; they get half of the limit at most, so that they can't block calls.
 type streams struct {
-	most    int64 // 0 for no bound
-	after   *durationpb.Duration
-	open    atomic.Int64
-	watches atomic.Int64
-	turned  atomic.Int64
+	limit      int64 // 0 for no limit
+	retryAfter *durationpb.Duration
+	open       atomic.Int64
+	watches    atomic.Int64
+	refused    atomic.Int64
 }
 
-// newStreams takes the settings' bound, or as many as three eighths of the memory hold.
+// newStreams uses the limit of the settings, or as many streams as three eighths of the memory hold.
 func newStreams(s *settings.Settings) *streams {
-	most := int64(s.Streams)
-	if most == 0 {
-		most = int64(s.Memory) * 3 / 8 / streamCost
+	limit := int64(s.Streams)
+	if limit == 0 {
+		limit = int64(s.Memory) * 3 / 8 / streamBytes
 	}
-	return &streams{most: most, after: durationpb.New(s.MaxRetryAfter)}
+	return &streams{limit: limit, retryAfter: durationpb.New(s.MaxRetryAfter)}
 }
 
 func (s *streams) options() []grpc.ServerOption {
 	return []grpc.ServerOption{grpc.InTapHandle(s.tap), grpc.UnaryInterceptor(s.unary), grpc.StreamInterceptor(s.stream)}
 }
 
-// isCall tells a call of the driver from a watch of its health and the like.
+// isCall reports whether a method belongs to the driver's service. Calls of other services, such as health watches,
+// count as watches.
 func isCall(method string) bool {
 	return strings.HasPrefix(method, "/"+pb.Driver_ServiceDesc.ServiceName+"/")
 }
 
 func (s *streams) tap(ctx context.Context, call *tap.Info) (context.Context, error) {
-	if s.most == 0 || s.open.Load() < s.most && (isCall(call.FullMethodName) || s.watches.Load() < s.most/2) {
+	if s.limit == 0 || s.open.Load() < s.limit && (isCall(call.FullMethodName) || s.watches.Load() < s.limit/2) {
 		return ctx, nil
 	}
-	s.turned.Add(1)
-	return ctx, detailed(codes.ResourceExhausted, "refused: as many calls and watches are open as this driver has memory for (admission streams)",
-		info(reasonRefused, nil), &errdetails.RetryInfo{RetryDelay: s.after})
+	s.refused.Add(1)
+	return ctx, detailed(codes.ResourceExhausted, "refused: the limit of open calls and watches is reached (admission streams)",
+		info(reasonRefused, nil), &errdetails.RetryInfo{RetryDelay: s.retryAfter})
 }
 
 func (s *streams) enter(method string) (leave func()) {
--- a/server/topology.go
+++ b/server/topology.go
@@ -15,19 +15,19 @@
 	"umberladder/topology"
 )
 
-// topologyName is the file of the state directory with the terms that were seen. Unlike that of the sessions it stays, as
-// it only ever serves to refuse.
-const topologyName = "topology.last"
+// topologyFile is the file in the state directory that holds the observed terms. Unlike the sessions file it is not
+// removed when read, because it can only cause refusals.
+const topologyFile = "topology.last"
 
-// topologyEvery is how often it is looked whether there is something new to keep.
-const topologyEvery = time.Second
+// topologyInterval is the time between checks for changes to be saved.
+const topologyInterval = time.Second
 
-// takeTopology reads what an earlier life saw. A damaged file is told and not used.
-func takeTopology(dir string) (*topology.State, error) {
+// loadTopology reads the topology that a previous process saved. It returns an error for a damaged file.
+func loadTopology(dir string) (*topology.State, error) {
 	if dir == "" {
 		return nil, nil
 	}
-	path := filepath.Join(dir, topologyName)
+	path := filepath.Join(dir, topologyFile)
 	text, err := os.ReadFile(path)
 	if errors.Is(err, fs.ErrNotExist) {
 		return nil, nil
@@ -37,17 +37,17 @@
 	}
 	st, err := topology.Decode(text)
 	if err != nil {
-		return nil, fmt.Errorf("%s is not used: %w", path, err)
+		return nil, fmt.Errorf("topology file %s is not used: %w", path, err)
 	}
 	return st, nil
 }
 
-// keepTopology saves what changed until ctx ends.
-func (s *Server) keepTopology(ctx context.Context) {
+// saveTopologyChanges saves changes until ctx ends.
+func (s *Server) saveTopologyChanges(ctx context.Context) {
 	if s.settings.StateDir == "" {
 		return
 	}
-	tick := time.NewTicker(topologyEvery)
+	tick := time.NewTicker(topologyInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -56,14 +56,14 @@
 		case <-tick.C:
 		}
 		var st *topology.State
-		if s.loop.look(ctx, func(e *driver.Engine) { st = e.Topology() }) == nil {
+		if s.loop.withEngine(ctx, func(e *driver.Engine) { st = e.Topology() }) == nil {
 			s.saveTopology(st)
 		}
 	}
 }
 
-// saveTopology writes a state unless it is the one that was written last. A driver that was told nothing yet has nothing
-// to say, and leaves what there is.
+// saveTopology writes a state that differs from the last one written. A driver without any reports does not overwrite
+// the file.
 func (s *Server) saveTopology(st *topology.State) {
 	if s.settings.StateDir == "" || len(st.Slices) == 0 {
 		return
@@ -73,7 +73,7 @@
 		return
 	}
 	if err == nil {
-		err = inventory.ReplaceFile(filepath.Join(s.settings.StateDir, topologyName), text)
+		err = inventory.ReplaceFile(filepath.Join(s.settings.StateDir, topologyFile), text)
 	}
 	if err != nil {
 		s.log.Error(err.Error())
--- a/server/topology_test.go
+++ b/server/topology_test.go
@@ -17,7 +17,7 @@
 	"umberladder/server"
 )
 
-// topologyOf asks a driver's control socket, or tells it something.
+// topologyOf sends a request about the topology to a driver's control socket.
 func topologyOf(t *testing.T, socket, method, path string) (tp server.Topology, status int) {
 	t.Helper()
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true, DialContext: func(ctx context.Context, _, _ string) (net.Conn, error) {
@@ -26,7 +26,7 @@
 	req, _ := http.NewRequest(method, "http://driver"+path, nil)
 	res, err := client.Do(req)
 	if err != nil {
-		return tp, 0 // it is not up yet
+		return tp, 0 // the socket is not open yet
 	}
 	defer res.Body.Close()
 	text, _ := io.ReadAll(res.Body)
@@ -40,9 +40,9 @@
 	return tp, res.StatusCode
 }
 
-// TestTopologyShown: a split brain is shown with its claimants, an operator's fence ends it and outlives the driver, and
-// what is not there is named.
-func TestTopologyShown(t *testing.T) {
+// TestTopologyOverControlSocket: a split brain is shown with its claimants, an operator's fence ends it and survives
+// a restart of the driver, and the error for an unknown node lists the known ones.
+func TestTopologyOverControlSocket(t *testing.T) {
 	dir := t.TempDir()
 	socket := filepath.Join(dir, "control")
 	f := newFleet(t, lab.Spec{Members: 2, Extra: "state dir " + dir + "\nstate control " + socket + "\n"})
@@ -53,7 +53,7 @@
 	})
 	usurper := g.Nodes()[1]
 	g.Usurp(usurper)
-	g.Usurp(g.Nodes()[2]) // nobody follows any of them
+	g.Usurp(g.Nodes()[2]) // no node follows any of them
 	var first server.TopologySlice
 	until(t, "two claim the timeline", func() bool {
 		tp, _ := topologyOf(t, socket, "GET", "/topology")
@@ -64,7 +64,7 @@
 		t.Errorf("%+v", first)
 	}
 	if _, status := topologyOf(t, socket, "POST", "/topology/fence/nobody"); status != http.StatusNotFound {
-		t.Errorf("fencing nobody: %d", status)
+		t.Errorf("fencing an unknown node: HTTP status %d", status)
 	}
 	topologyOf(t, socket, "POST", "/topology/fence/"+g.Nodes()[2].Name)
 	tp, _ := topologyOf(t, socket, "POST", "/topology/fence/"+usurper.Name)
@@ -75,14 +75,14 @@
 		_, err := f.Drivers[0].Client().Execute(context.Background(), writeTo(g.Name))
 		return err == nil
 	})
-	until(t, "the state is kept", func() bool { _, err := os.Stat(filepath.Join(dir, "topology.last")); return err == nil })
+	until(t, "the state is saved", func() bool { _, err := os.Stat(filepath.Join(dir, "topology.last")); return err == nil })
 	if err := f.Drivers[0].Stop(); err != nil {
 		t.Fatal(err)
 	}
 	if err := f.Start(f.Drivers[0]); err != nil {
 		t.Fatal(err)
 	}
-	until(t, "the fence is there after a restart", func() bool {
+	until(t, "the fence is in place after a restart", func() bool {
 		tp, _ := topologyOf(t, socket, "GET", "/topology")
 		for _, s := range tp.Slices {
 			for _, n := range s.Nodes {
@@ -99,12 +99,13 @@
 	}
 }
 
-// TestAnswersOfAnOrderShowItsEffect: what an operator's order answers is what it left behind, whatever nodes tell meanwhile.
+// TestCommandAnswersShowTheirEffect: the answer to an operator's command shows the state right after it, even if
+// nodes report meanwhile.
 //
-// The answer was put together in a second look at the engine. Forgetting has all nodes asked at once, and nodes that
-// answered between the two looks were in it: TestTopologyShown failed so, once in CI beside load, with three nodes heard
-// 0.2 to 3.8 ms before.
-func TestAnswersOfAnOrderShowItsEffect(t *testing.T) {
+// The answer used to be built in a second call of the engine. Forgetting polls all nodes at once, and nodes that
+// answered between the two calls were in it: TestTopologyOverControlSocket (then TestTopologyShown) failed so once in
+// CI, on a loaded machine, with the reports of three nodes 0.2 to 3.8 ms old.
+func TestCommandAnswersShowTheirEffect(t *testing.T) {
 	dir := t.TempDir()
 	socket := filepath.Join(dir, "control")
 	f := newFleet(t, lab.Spec{Members: 3, Extra: "state dir " + dir + "\nstate control " + socket + "\n"})
@@ -121,7 +122,7 @@
 		}
 	}
 	if shown > 0 {
-		t.Errorf("%d of %d answers show what nodes told after all was forgotten", shown, orders)
+		t.Errorf("%d of %d answers show reports of nodes that came after the command", shown, orders)
 	}
 }
 
@@ -130,7 +131,7 @@
 		Parameters: []*pb.Value{{Kind: &pb.Value_TextValue{TextValue: "k"}}, {Kind: &pb.Value_TextValue{TextValue: "v" + time.Now().Format("150405.000000")}}}}
 }
 
-// TestDamagedTopology: a damaged file is told, not used, and the driver starts.
+// TestDamagedTopology: the driver starts with a damaged file and does not use it.
 func TestDamagedTopology(t *testing.T) {
 	dir := t.TempDir()
 	if err := os.WriteFile(filepath.Join(dir, "topology.last"), []byte("umbtop\x00\x01 and no more"), 0o600); err != nil {
--- a/server/visible_test.go
+++ b/server/visible_test.go
@@ -9,7 +9,7 @@
 	"umberladder/standin"
 )
 
-// bothWays runs a test before nodes that are asked for their facts and before nodes that tell them by parameters.
+// bothWays runs a test with nodes that are queried for their facts and with nodes that report them as parameters.
 func bothWays(t *testing.T, run func(t *testing.T, node standin.Config)) {
 	for name, byParams := range map[string]bool{"asked": false, "by parameters": true} {
 		t.Run(name, func(t *testing.T) {
@@ -20,7 +20,7 @@
 	}
 }
 
-// readAtReplica reads a key without a token until a replica answers with the value wanted.
+// readAtReplica reads a key without a token until a replica returns the wanted value, for up to 5 s.
 func readAtReplica(t *testing.T, f *lab.Fleet, key, want string) *pb.ExecuteResponse {
 	t.Helper()
 	for limit := time.Now().Add(5 * time.Second); time.Now().Before(limit); time.Sleep(time.Millisecond) {
@@ -33,7 +33,7 @@
 	return nil
 }
 
-// valueOf is what a read returned, "" for no row.
+// valueOf returns the value that a read returned, "" for no row.
 func valueOf(res *pb.ExecuteResponse) string {
 	if len(res.Rows) == 0 {
 		return ""
@@ -41,20 +41,20 @@
 	return res.Rows[0].Values[0].GetTextValue()
 }
 
-// TestCommitShownByReplicaFirst: a session that saw a commit at a replica must not lose sight of it at the primary.
+// TestCommitShownByReplicaFirst: a session that saw a commit at a replica must also see it at the primary.
 //
 // A primary writes a commit's record to its log, and replicas may replay and show it, before the primary ends the
-// transaction and shows it too. The place in the log says nothing of this: the primary stood at or beyond it. Without
-// synchronous standbys the driver took a primary at the token's place for one that shows all of it. Seen in "lab
-// history --seed 14" (1 of 40 runs):
+// transaction and shows it too. Log positions do not reveal this, as the primary's was at or beyond the commit.
+// Without synchronous standbys the driver assumed that a primary at the token's position shows all of it. Seen in
+// "lab history --seed 14" (1 of 40 runs):
 //
 //	s1-163: read slice1/shared0 -> "s10-156"  [replica db1-3 at 3:0/4C0, token 3:0/500 with transactions below 719]
 //	s1-164: read slice1/shared0 -> "s19-142"  [primary db1-0 at 3:0/500, ran with all transactions below 718 over]
 //
-// The replica's token asked for all transactions below 719, and the primary had ended those below 718. Now each node
-// tells its snapshot, and a primary serves such a token only if the transactions are over there.
+// The replica's token required all transactions below 719, and the primary had ended those below 718. Now each node
+// reports its snapshot, and a primary serves such a token only if those transactions have ended there.
 //
-// Here the primary holds the commit back until it is told to go on.
+// In this test the primary holds the commit back until released.
 func TestCommitShownByReplicaFirst(t *testing.T) {
 	bothWays(t, func(t *testing.T, node standin.Config) {
 		f := newFleet(t, lab.Spec{Node: node})
@@ -86,8 +86,8 @@
 	})
 }
 
-// TestLongTransactionAtPrimary: one long transaction that writes keeps the primary's oldest running transaction low.
-// Sessions that have read at a replica are served by the primary all the same, where no replica can do it.
+// TestLongTransactionAtPrimary: a long transaction that writes keeps the primary's oldest running transaction low.
+// Sessions that have read at a replica must still be served by the primary if no replica can serve them.
 func TestLongTransactionAtPrimary(t *testing.T) {
 	bothWays(t, func(t *testing.T, node standin.Config) {
 		f := newFleet(t, lab.Spec{Node: node})
@@ -96,7 +96,7 @@
 		must(t, f, writeReq("a", "one"))
 		seen := readAtReplica(t, f, "a", "one")
 		for _, n := range f.Groups[0].Nodes()[1:] {
-			n.Lag(1e6) // from here on replicas stand still
+			n.Lag(1e6) // from here on the replicas replay nothing
 		}
 		write := writeReq("a", "two")
 		write.Token = seen.Token
