--- a/causalcache/cache.go
+++ b/causalcache/cache.go
@@ -97,7 +97,7 @@
 	}
 	for _, id := range ids {
 		// An unknown place asks for the present; it does not say that an answer holds it.
-		if asked, any := n.AtID(id); any && (asked.LSN == position.Unknown || !have.Place(id).Covers(asked)) {
+		if asked, any := n.PositionByID(id); any && (asked.LSN == position.Unknown || !have.Place(id).Covers(asked)) {
 			return false
 		}
 	}
--- a/token/keyring.go
+++ b/token/keyring.go
@@ -15,34 +15,34 @@
 	lru "github.com/hashicorp/golang-lru/v2"
 )
 
-// Keyring signs tokens with one key and verifies those signed with any of its keys, so that keys can be
-// replaced with an overlap. It is immutable and safe for concurrent use.
+// Keyring signs tokens with one key and verifies tokens signed with any of its keys, so that keys can be rotated with
+// an overlap. Its keys never change; it is safe for concurrent use. A nil *Keyring neither signs nor verifies.
 type Keyring struct {
 	keys    map[uint64]*signer
 	signing uint64
-	// recent are texts that this ring signed or believed, by text and scope: most tokens come back soon, and often.
+	// recent caches tokens that this ring signed or verified, by text and scope: most are presented again soon and often.
 	recent *lru.Cache[string, Token]
 }
 
-// recentTexts is how many of them a ring keeps; each takes some 400 bytes.
+// recentTexts is the capacity of Keyring.recent; an entry takes about 400 bytes.
 const recentTexts = 8192
 
 func newKeyring() *Keyring {
 	recent, err := lru.New[string, Token](recentTexts)
 	if err != nil {
-		panic(err) // only for a size below one
+		panic(err) // only for a capacity below 1
 	}
 	return &Keyring{keys: map[uint64]*signer{}, recent: recent}
 }
 
-// signer is one key. Its hashes have the key taken in already.
+// signer is one key with a pool of HMAC states that are initialized with it.
 type signer struct{ hashes sync.Pool }
 
 func newSigner(key []byte) *signer {
 	return &signer{hashes: sync.Pool{New: func() any { return hmac.New(sha256.New, key) }}}
 }
 
-// append appends the code of a scope and a body.
+// append appends the HMAC of a scope and a body to b.
 func (s *signer) append(b, body []byte, scope string) []byte {
 	h := s.hashes.Get().(hash.Hash)
 	defer s.hashes.Put(h)
@@ -53,18 +53,19 @@
 	return append(b, h.Sum(sum[:0])[:macBytes]...)
 }
 
-// minKey is the shortest key, in bytes.
-const minKey = 16
+// minKeyBytes is the minimum length of a key, in bytes.
+const minKeyBytes = 16
 
-// LoadKeys reads a file that nobody else may read: a line for each key with its number, the key in base64, and
-// "sign" behind the one to sign with. Lines that begin with # are comments.
+// LoadKeys reads a key file. Each line has the number of a key (32 bits), the key of 16 bytes or more in base64 and, for
+// exactly one key, the word "sign", which marks the signing key. Lines that begin with # are comments. It returns an
+// error if the file cannot be read, if its mode permits access by group or others, or if its content is invalid.
 func LoadKeys(path string) (*Keyring, error) {
 	st, err := os.Stat(path)
 	if err != nil {
 		return nil, fmt.Errorf("token keys: %w", err)
 	}
 	if st.Mode().Perm()&0o077 != 0 {
-		return nil, fmt.Errorf("token keys: %s may be read by others (mode %04o); make it 0600", path, st.Mode().Perm())
+		return nil, fmt.Errorf("token keys: %s is accessible to other users (mode %04o); make it 0600", path, st.Mode().Perm())
 	}
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -83,18 +84,18 @@
 		}
 		at := fmt.Sprintf("token keys: %s:%d", path, n+1)
 		if len(words) > 3 || len(words) < 2 || len(words) == 3 && words[2] != "sign" {
-			return nil, fmt.Errorf("%s: wants a number, a key in base64 and, for one of them, \"sign\"", at)
+			return nil, fmt.Errorf("%s: expected a key number, a key in base64 and, for exactly one key, \"sign\"", at)
 		}
 		id, err := strconv.ParseUint(words[0], 10, 32)
 		if err != nil {
-			return nil, fmt.Errorf("%s: %q is no number of a key", at, words[0])
+			return nil, fmt.Errorf("%s: %q is not a key number from 0 to 4294967295", at, words[0])
 		}
 		key, err := base64.StdEncoding.DecodeString(words[1])
-		if err != nil || len(key) < minKey {
-			return nil, fmt.Errorf("%s: the key is not base64 of %d bytes or more", at, minKey)
+		if err != nil || len(key) < minKeyBytes {
+			return nil, fmt.Errorf("%s: the key is not base64 of at least %d bytes", at, minKeyBytes)
 		}
 		if k.keys[id] != nil {
-			return nil, fmt.Errorf("%s: key %d stands twice", at, id)
+			return nil, fmt.Errorf("%s: key %d is listed twice", at, id)
 		}
 		k.keys[id] = newSigner(key)
 		if len(words) == 3 {
@@ -103,15 +104,16 @@
 		}
 	}
 	if signs != 1 {
-		return nil, fmt.Errorf("token keys: %s: %d keys are marked \"sign\", one is wanted", path, signs)
+		return nil, fmt.Errorf("token keys: %s: %d keys are marked \"sign\", exactly 1 is required", path, signs)
 	}
 	return k, nil
 }
 
-// NewKeyring makes a ring from keys by number; signing is the one to sign with.
+// NewKeyring returns a keyring of the given keys by number; signing is the number of the signing key. It returns an
+// error if the signing key is missing or shorter than 16 bytes.
 func NewKeyring(keys map[uint64][]byte, signing uint64) (*Keyring, error) {
-	if len(keys[signing]) < minKey {
-		return nil, fmt.Errorf("token keys: key %d to sign with is not there, or under %d bytes", signing, minKey)
+	if len(keys[signing]) < minKeyBytes {
+		return nil, fmt.Errorf("token keys: signing key %d is missing or shorter than %d bytes", signing, minKeyBytes)
 	}
 	k := newKeyring()
 	k.signing = signing
@@ -121,8 +123,8 @@
 	return k, nil
 }
 
-// Sign is the text form with a signature. With a scope, only who presents it under the same scope is believed.
-// A nil Keyring writes the plain text form.
+// Sign returns the text form with a signature, the empty string for the zero Token. With a scope that is not empty, such
+// as the name of a session, Verify accepts the text only under the same scope. A nil Keyring returns t.String().
 func (k *Keyring) Sign(t Token, scope string) string {
 	if k == nil || t.IsZero() {
 		return t.String()
@@ -145,24 +147,25 @@
 	return text + "\x00" + scope
 }
 
-// Verify reads a text form and believes it only if one of the keys signed it, under this scope where it is
-// bound to one. A nil Keyring believes every token that is whole. The error is an *Error.
+// Verify parses a text form and verifies that one of the keys signed it, with the given scope if it was signed with a
+// scope. The empty text is the zero Token. A nil Keyring accepts every token that Parse accepts. Errors are of type
+// *Error.
 func (k *Keyring) Verify(text, scope string) (Token, error) {
 	if k != nil {
 		if t, ok := k.recent.Get(recentKey(text, scope)); ok {
 			return t, nil
 		}
 	}
-	p, err := split(text)
+	p, err := decode(text)
 	if err != nil || k == nil || text == "" {
 		return p.token, err
 	}
 	if !p.signed {
-		return Token{}, bad("is not signed, and this driver believes signed ones only")
+		return Token{}, errorf("not signed, and this driver accepts signed tokens only")
 	}
 	key := k.keys[p.key]
 	if key == nil {
-		return Token{}, bad("is signed with key %d, which is not known or no longer; read again without it", p.key)
+		return Token{}, errorf("signed with key %d, which is not known or no longer valid; repeat the read without this token", p.key)
 	}
 	bound := scope
 	if !p.scoped {
@@ -170,9 +173,9 @@
 	}
 	if !hmac.Equal(key.append(nil, p.body, bound), p.mac) {
 		if p.scoped {
-			return Token{}, bad("signature is wrong: it was changed, or belongs to another session")
+			return Token{}, errorf("signature does not match: the token was changed or belongs to another session")
 		}
-		return Token{}, bad("signature is wrong: it was changed on the way")
+		return Token{}, errorf("signature does not match: the token was changed in transit")
 	}
 	k.recent.Add(recentKey(text, scope), p.token)
 	return p.token, nil
--- /dev/null
+++ b/token/set.go
@@ -0,0 +1,147 @@
+package token
+
+import (
+	"fmt"
+	"slices"
+	"strings"
+
+	"github.com/cespare/xxhash/v2"
+)
+
+// MaxBag is the largest number of texts in a set.
+const MaxBag = 16
+
+// Unknown is a text that represents one or more lost tokens: tokens that could not be parsed or did not fit. A driver
+// treats it as a lost token: a read of a session class then requires the present or is refused.
+const Unknown = "!"
+
+// Bag is a set of token texts, for services that have no keys and so cannot sign a joined token. A driver that receives
+// it joins the tokens that it can verify and answers with one token that covers all of them. The zero value is the
+// empty set. Sets are immutable: methods return a new one.
+type Bag struct{ texts []string }
+
+// ParseBag parses the values of one or more headers, each a list of token texts separated by dots, commas or spaces. A
+// text that is not a token is replaced by Unknown, as is a value longer than 65536 bytes.
+func ParseBag(values ...string) Bag {
+	var b Bag
+	for _, v := range values {
+		if len(v) > maxText*MaxBag {
+			b = b.Add(Unknown)
+			continue
+		}
+		for _, text := range splitTexts(v) {
+			b = b.Add(text)
+		}
+	}
+	return b
+}
+
+func splitTexts(v string) []string {
+	return strings.FieldsFunc(v, func(r rune) bool { return r == '.' || r == ',' || r == ' ' })
+}
+
+// VerifyAll verifies the tokens that a client presents to a driver, separated by dots, commas or spaces, and returns
+// their join. unknown reports that the text contains Unknown. It returns an *Error for a malformed token, for one that
+// Verify refuses, and for a text longer than 65536 bytes.
+func (k *Keyring) VerifyAll(text, scope string) (t Token, unknown bool, err error) {
+	if len(text) > maxText*MaxBag {
+		return t, false, errorf("text of %d characters is over the limit of %d", len(text), maxText*MaxBag)
+	}
+	for _, one := range splitTexts(text) {
+		if one == Unknown {
+			unknown = true
+			continue
+		}
+		part, err := k.Verify(one, scope)
+		if err != nil {
+			return Token{}, unknown, err
+		}
+		t = t.Join(part)
+	}
+	return t, unknown, nil
+}
+
+// Add returns the union with one text. A text that is not a token is added as Unknown. Texts that another one covers
+// are kept, as without keys it is not known whether the driver will accept the other. Over the limit of 16 texts, the
+// first in sort order are dropped and Unknown is added.
+func (b Bag) Add(text string) Bag {
+	if text == "" || slices.Contains(b.texts, text) {
+		return b
+	}
+	if _, err := Parse(text); text != Unknown && err != nil {
+		return b.Add(Unknown)
+	}
+	all := append(slices.Clone(b.texts), text)
+	if len(all) > MaxBag {
+		all = all[len(all)-MaxBag+1:]
+		if !slices.Contains(all, Unknown) {
+			all = append(all, Unknown)
+		}
+	}
+	slices.Sort(all)
+	return Bag{all}
+}
+
+// Join returns the union of b and o, limited to 16 texts as by Add.
+func (b Bag) Join(o Bag) Bag {
+	for _, text := range o.texts {
+		b = b.Add(text)
+	}
+	return b
+}
+
+// Replace returns the set after a driver answered a request that carried the texts of handed: these are replaced by the
+// answer's token, which covers them. Texts added since are kept. An empty answer removes the texts only.
+func (b Bag) Replace(handed Bag, answer string) Bag {
+	rest := Bag{slices.DeleteFunc(slices.Clone(b.texts), func(t string) bool { return slices.Contains(handed.texts, t) })}
+	return rest.Add(answer)
+}
+
+// Absorb returns the union with the set from a called service's answer, without the texts of b that it covers. The
+// service is trusted not to claim more than its data includes, so covered texts require nothing more. If from contains
+// Unknown, nothing is removed.
+func (b Bag) Absorb(from Bag) Bag {
+	have, complete := from.Peek()
+	if !complete {
+		return b.Join(from)
+	}
+	rest := Bag{}
+	for _, text := range b.texts {
+		if one, err := Parse(text); text == Unknown || err != nil || !have.Covers(one) {
+			rest = rest.Add(text)
+		}
+	}
+	return rest.Join(from)
+}
+
+// HasUnknown reports whether a token was lost, that is, whether the set contains Unknown.
+func (b Bag) HasUnknown() bool { return slices.Contains(b.texts, Unknown) }
+
+// Digest returns a 64-bit hash of the set as 16 hexadecimal digits, by which a service identifies the set whose lost
+// token its answer settled.
+func (b Bag) Digest() string { return fmt.Sprintf("%016x", xxhash.Sum64String(b.String())) }
+
+// IsEmpty reports whether the set has no texts.
+func (b Bag) IsEmpty() bool { return len(b.texts) == 0 }
+
+// Texts returns a sorted copy of the texts.
+func (b Bag) Texts() []string { return slices.Clone(b.texts) }
+
+// String returns the sorted texts separated by dots.
+func (b Bag) String() string { return strings.Join(b.texts, ".") }
+
+// Peek returns the join of all tokens in the set without verifying signatures. It is meant for caches, where a forged
+// token that requires too little harms only the client that presents it. complete is false if the set contains Unknown,
+// whose requirements are not known.
+func (b Bag) Peek() (t Token, complete bool) {
+	complete = true
+	for _, text := range b.texts {
+		one, err := Parse(text)
+		if err != nil || text == Unknown {
+			complete = false
+			continue
+		}
+		t = t.Join(one)
+	}
+	return t, complete
+}
--- a/token/token.go
+++ b/token/token.go
@@ -1,15 +1,22 @@
-// Package token holds the causal token that clients carry from a write to the reads that must see it. To
-// clients it is opaque text; inside it is a vector: for each of some slices a place in that slice's log.
+// Package token encodes the causal token that a client carries from a write to the reads that must observe it: for
+// each of some slices, the least log position that an answer must include. Log positions and token texts go in;
+// out come joined tokens, the answer to whether one covers another, and opaque text, signed if a Keyring is given.
+// Drivers create and verify tokens; services and caches only parse them and collect them unverified in a set of texts.
 //
-// Tokens form a lattice. Join is the least token that asks for all that both ask for, Covers its order, the
-// zero Token its bottom. A token that would outgrow MaxSlices becomes a stronger one: slices that it no longer
-// names are asked for as they are at present, never less.
+// Tokens form a lattice. Covers is its order, Join the least upper bound, the zero Token the bottom. Join and With
+// limit a token to MaxSlices slices: a token over the limit is replaced by a stronger one, which requires the
+// present position of every slice that it no longer lists. The present position of a slice is the end of its log at
+// the time of the read.
 //
-// The binary form (version 2) is a version, flags, the number of slices, for each slice five bytes of the xxHash
-// of its name, its timeline and its LSN as varints, any number of extensions (a type, a length and that many
-// bytes; an odd type that is not known is refused, an even one passed over), and at the end either the id of a
-// key and 16 bytes of an HMAC-SHA256 or four bytes of an xxHash. The text form is that in unpadded base64url,
-// which is safe in headers, cookies, URLs and ETags. Version 1, with slices by name, is still read.
+// The binary form, version 2, consists of:
+//   - one byte of version and one of flags;
+//   - the number of slices, and for each slice five bytes of the xxHash of its name, its timeline and its LSN;
+//   - the number of extensions, and for each extension a type, a length in bytes and that many bytes. An unknown
+//     type is skipped if it is even and refused if it is odd;
+//   - if signed, the id of a key and 16 bytes of an HMAC-SHA256, else four bytes of an xxHash.
+//
+// Numbers without a stated size are varints. The text form is unpadded base64url of the binary form, which is safe
+// in headers, cookies, URLs and ETags. Version 1, which lists slices by name, can still be parsed.
 package token
 
 import (
@@ -27,33 +34,34 @@
 
 const (
 	version = 2
-	maxText = 4096 // longest text that Parse looks at, in bytes
-	maxName = 64   // longest name of a slice in version 1, in bytes
+	maxText = 4096 // longest text that Parse accepts, in bytes
+	maxName = 64   // longest slice name in version 1, in bytes
 
 	flagSigned  = 1 << 0
 	flagScoped  = 1 << 1
-	flagPresent = 1 << 2 // slices not named are asked for as they are at present
+	flagPresent = 1 << 2 // slices that are not listed require their present position
 	knownFlags  = flagSigned | flagScoped | flagPresent
 
-	sumBytes = 4
-	macBytes = 16
+	checksumBytes = 4
+	macBytes      = 16
 )
 
-// MaxSlices is how many slices a token names at the most; beyond that it asks for the present of the others.
+// MaxSlices is the largest number of slices that a token lists. Beyond it, the token requires the present position of
+// the slices that were left out.
 const MaxSlices = 32
 
-// SliceID is what stands for a slice in a token: 40 bits of the xxHash of its name. Two slices that share an
-// ID share a place, which only asks for more.
+// SliceID identifies a slice within a token: the upper 40 bits of the xxHash of its name. Two slices with the same ID
+// share one entry, so a token may require more of them than needed but never less.
 type SliceID uint64
 
-// IDOf is the ID of a slice.
+// IDOf returns the ID of the slice with the given name.
 func IDOf(slice string) SliceID { return SliceID(xxhash.Sum64String(slice) >> 24) }
 
-// Token is a place in the log of each of some slices. The zero Token asks for nothing. Tokens are values:
-// no method changes one.
+// Token holds the log position required of each of some slices. The zero Token requires nothing. A Token is
+// immutable: methods return a new one.
 type Token struct {
-	entries []entry // by ID
-	present bool    // slices not among them are asked for as they are at present
+	entries []entry // sorted by ID
+	present bool    // slices without an entry require their present position
 }
 
 type entry struct {
@@ -61,19 +69,20 @@
 	at position.Position
 }
 
-// Error says why a text is no token, or not one to be believed.
-type Error struct{ Why string }
+// Error reports why a text is not a valid token or could not be verified.
+type Error struct{ Reason string }
 
-func (e *Error) Error() string { return "token: " + e.Why }
+func (e *Error) Error() string { return "token: " + e.Reason }
 
-func bad(format string, args ...any) error { return &Error{Why: fmt.Sprintf(format, args...)} }
+func errorf(format string, args ...any) error { return &Error{Reason: fmt.Sprintf(format, args...)} }
 
-// IsZero tells whether the token asks for nothing.
+// IsZero reports whether the token requires nothing.
 func (t Token) IsZero() bool { return len(t.entries) == 0 && !t.present }
 
-// At is the place that the token asks for of a slice, false if it asks for none.
+// At returns the position that the token requires of a slice: the listed one, or position.Present if the slice is not
+// listed and the token requires the present of such slices. It returns false if nothing is required of the slice.
 func (t Token) At(slice string) (position.Position, bool) {
-	at, ok := t.AtID(IDOf(slice))
+	at, ok := t.PositionByID(IDOf(slice))
 	if !ok {
 		return position.Position{}, false
 	}
@@ -84,7 +93,7 @@
 	return slices.BinarySearchFunc(t.entries, id, func(e entry, id SliceID) int { return cmp.Compare(e.id, id) })
 }
 
-// Slices lists the IDs of the slices that the token names, rising.
+// Slices returns the IDs of the listed slices in ascending order.
 func (t Token) Slices() []SliceID {
 	ids := make([]SliceID, len(t.entries))
 	for i, e := range t.entries {
@@ -93,10 +102,10 @@
 	return ids
 }
 
-// WithPresent is the token with all slices that it doesn't name asked for as they are at present.
+// WithPresent returns a token that additionally requires the present position of every slice that t does not list.
 func (t Token) WithPresent() Token { return Token{entries: t.entries, present: true} }
 
-// Place is the place of a slice that the token names, by its ID.
+// Place returns the position listed for a slice, the zero Position if the slice is not listed.
 func (t Token) Place(id SliceID) position.Position {
 	if i, ok := t.find(id); ok {
 		return t.entries[i].at
@@ -104,16 +113,19 @@
 	return position.Position{}
 }
 
-// AtID is At by the slice's ID.
-func (t Token) AtID(id SliceID) (position.Position, bool) {
+// PositionByID returns the position that the token requires of the slice with the given ID: the listed one, or
+// position.Present if the slice is not listed and the token requires the present of such slices. If nothing is required
+// of the slice, it returns false and a position without meaning.
+func (t Token) PositionByID(id SliceID) (position.Position, bool) {
 	if i, ok := t.find(id); ok {
 		return t.entries[i].at, true
 	}
 	return position.Present, t.present
 }
 
-// Meet is what something made of two parts holds, if t and u are what the parts hold: of a slice that both read the
-// lower place, of one that only one read that one's. Neither may ask for the present.
+// Meet returns the lower bound of a result composed of two reads with the lower bounds t and u. For a slice listed in
+// both it is the Meet of the two positions, for a slice listed in one that position. Neither t nor u may require the
+// present of slices that it does not list.
 func (t Token) Meet(u Token) Token {
 	out := t.Join(u)
 	for i := range out.entries {
@@ -126,11 +138,11 @@
 	return out
 }
 
-// AsksForPresent tells whether the token asks for the present of the slices that it doesn't name.
+// AsksForPresent reports whether the token requires the present position of every slice that it does not list.
 func (t Token) AsksForPresent() bool { return t.present }
 
-// With is the token with the place of one slice set to at, whatever it was before. The zero Position takes the
-// slice out, as one whose place everybody has long passed.
+// With returns a token in which the position of one slice is set to at, even if it was higher. The zero Position
+// removes the slice, which is safe once every member has long replayed its position.
 func (t Token) With(slice string, at position.Position) Token {
 	id := IDOf(slice)
 	i, ok := t.find(id)
@@ -147,8 +159,8 @@
 	return out.bounded()
 }
 
-// bounded makes a token that names too many slices a stronger one that names fewer: those named longest ago
-// can't be told, so the ones with the lowest places go, which the present covers.
+// bounded limits the token to MaxSlices slices. It removes those with the lowest positions, as a token does not record
+// when a slice was added, and requires the present of all slices not listed, which covers the removed positions.
 func (t Token) bounded() Token {
 	if len(t.entries) <= MaxSlices {
 		return t
@@ -164,7 +176,7 @@
 	return t
 }
 
-// Join is the least token within the bound that asks for all that both ask for.
+// Join returns the least token of at most MaxSlices slices that requires all that t and u require.
 func (t Token) Join(u Token) Token {
 	switch {
 	case t.IsZero():
@@ -189,8 +201,8 @@
 	return out.bounded()
 }
 
-// add takes an entry that only one side names; where the other asks for the present, so does the join, of the
-// transactions too that the entry names.
+// add appends an entry that only one side of a join lists. If the other side requires the present of slices that it
+// does not list, so does the join, together with the transactions of the entry.
 func (t *Token) add(e entry, otherPresent bool) {
 	if otherPresent {
 		e.at = e.at.Join(position.Present)
@@ -200,8 +212,8 @@
 	}
 }
 
-// Covers tells whether what the token stands for has all that need asks for: whether t is at or above need in
-// the order of tokens.
+// Covers reports whether whatever satisfies t also satisfies need, that is, whether t is at or above need in the order
+// of tokens.
 func (t Token) Covers(need Token) bool {
 	if need.present && !t.present {
 		return false
@@ -213,7 +225,7 @@
 		}
 	}
 	if need.present {
-		for _, e := range t.entries { // named by t alone: need asks for its present
+		for _, e := range t.entries { // listed by t alone: need requires its present position
 			if _, ok := need.find(e.id); !ok && !e.at.IsPresent() {
 				return false
 			}
@@ -222,12 +234,12 @@
 	return true
 }
 
-// Equal tells whether both ask for the same.
+// Equal reports whether t and u require the same.
 func (t Token) Equal(u Token) bool {
 	return t.present == u.present && slices.Equal(t.entries, u.entries)
 }
 
-// appendBody appends all but what guards it.
+// appendBody appends the binary form without its signature or checksum.
 func (t Token) appendBody(b []byte, flags byte) []byte {
 	if t.present {
 		flags |= flagPresent
@@ -242,9 +254,9 @@
 	return t.appendExtensions(b)
 }
 
-// The extensions that hold the transactions of each place, in order of the slices: the id that all are below, and by how
-// much less the one is that is excepted, 0 for none. Versions that do not know an extension pass over it; one that knows only
-// the first takes the exception for shown, which asks for more.
+// Types of the extensions that hold the Transactions of each position, in the order of the slices: extBelow holds
+// Below, extExcept holds Below minus Except, or 0 without an exception. A version that does not know an extension skips
+// it. One that knows only extBelow treats the excepted transaction as visible, which requires more.
 const (
 	extBelow  = 2
 	extExcept = 6
@@ -265,15 +277,15 @@
 	switch below := e.at.Transactions.Below; value {
 	case 0:
 	case below:
-		e.at.Transactions.Except = below // no set has this, so that it is told as not normal
+		e.at.Transactions.Except = below // not in normal form, which extensions refuses
 	default:
 		e.at.Transactions.Except = below - value
 	}
 }
 
-// appendExtensions appends the number of extensions and each that says anything.
+// appendExtensions appends the number of extensions and each extension in which a value is not 0.
 func (t Token) appendExtensions(b []byte) []byte {
-	bounds, exceptions := t.column(below), t.column(exceptDistance)
+	bounds, exceptions := t.encodeColumn(below), t.encodeColumn(exceptDistance)
 	count := byte(0)
 	for _, column := range [][]byte{bounds, exceptions} {
 		if column != nil {
@@ -294,8 +306,8 @@
 	return append(b, body...)
 }
 
-// column is one number of each entry, nil if all are 0.
-func (t Token) column(of func(*entry) uint64) (body []byte) {
+// encodeColumn encodes one number of each entry, or returns nil if all are 0.
+func (t Token) encodeColumn(of func(*entry) uint64) (body []byte) {
 	any := false
 	for i := range t.entries {
 		value := of(&t.entries[i])
@@ -308,58 +320,58 @@
 	return body
 }
 
-// String is the text form without a signature; the zero Token is the empty text.
+// String returns the text form without a signature, the empty string for the zero Token.
 func (t Token) String() string {
 	if t.IsZero() {
 		return ""
 	}
 	b := t.appendBody(make([]byte, 0, 64), 0)
-	return base64.RawURLEncoding.EncodeToString(binary.BigEndian.AppendUint32(b, sum(b)))
+	return base64.RawURLEncoding.EncodeToString(binary.BigEndian.AppendUint32(b, checksum(b)))
 }
 
-func sum(b []byte) uint32 { return uint32(xxhash.Sum64(b) >> 32) }
+func checksum(b []byte) uint32 { return uint32(xxhash.Sum64(b) >> 32) }
 
-// Parse reads a text form without looking at its signature: for carriers and caches, which trust whom they
-// have it from, and for drivers without keys. The error is an *Error that says what is wrong.
+// Parse parses a text form of at most 4096 bytes without verifying its signature. It is meant for services and caches,
+// which trust the sender, and for drivers without keys. The empty text is the zero Token. Errors are of type *Error.
 func Parse(text string) (Token, error) {
-	p, err := split(text)
+	p, err := decode(text)
 	return p.token, err
 }
 
-// parsed is a text form taken apart.
+// parsed holds the parts of a decoded text form.
 type parsed struct {
 	token  Token
-	body   []byte // what a signature covers
+	body   []byte // covered by the signature or checksum
 	signed bool
 	scoped bool
 	key    uint64
 	mac    []byte
 }
 
-func split(text string) (parsed, error) {
+func decode(text string) (parsed, error) {
 	if text == "" {
 		return parsed{}, nil
 	}
 	if len(text) > maxText {
-		return parsed{}, bad("%d characters, %d at most", len(text), maxText)
+		return parsed{}, errorf("text of %d characters is over the limit of %d", len(text), maxText)
 	}
 	b, err := base64.RawURLEncoding.Strict().DecodeString(text)
 	if err != nil || strings.ContainsAny(text, "\r\n") {
-		return parsed{}, bad("not base64url text")
+		return parsed{}, errorf("not base64url text")
 	}
 	if len(b) < 6 {
-		return parsed{}, bad("cut off after %d bytes", len(b))
+		return parsed{}, errorf("truncated after %d bytes", len(b))
 	}
 	switch b[0] {
 	case 1:
-		return splitNamed(b)
+		return decodeV1(b)
 	case version:
-		return splitVector(b)
+		return decodeV2(b)
 	}
-	return parsed{}, bad("version %d is not known here, 1 and %d are", b[0], version)
+	return parsed{}, errorf("version %d is not supported, only 1 and %d are", b[0], version)
 }
 
-// reader takes a binary form apart; ok turns false at the first thing that is cut off.
+// reader decodes a binary form. ok becomes false at the first value that is truncated or not canonical.
 type reader struct {
 	b  []byte
 	ok bool
@@ -367,7 +379,7 @@
 
 func (r *reader) number() uint64 {
 	v, n := binary.Uvarint(r.b)
-	if n <= 0 || n > 1 && r.b[n-1] == 0 { // longer than it need be: two texts for one token
+	if n <= 0 || n > 1 && r.b[n-1] == 0 { // not the shortest encoding: a token would have two texts
 		r.ok = false
 		return 0
 	}
@@ -385,30 +397,30 @@
 	return v
 }
 
-func splitVector(b []byte) (parsed, error) {
+func decodeV2(b []byte) (parsed, error) {
 	flags := b[1]
 	if flags&^knownFlags != 0 {
-		return parsed{}, bad("flags %#x are not known here", flags)
+		return parsed{}, errorf("flags %#x include an unknown flag", flags)
 	}
 	r := reader{b: b[2:], ok: true}
 	t := Token{present: flags&flagPresent != 0}
 	n := r.number()
 	if n > MaxSlices {
-		return parsed{}, bad("names %d slices, %d at most", n, MaxSlices)
+		return parsed{}, errorf("lists %d slices, over the limit of %d", n, MaxSlices)
 	}
 	for range n {
 		raw := r.bytes(5)
 		tl, lsn := r.number(), r.number()
 		if !r.ok || tl > 1<<32-1 {
-			return parsed{}, bad("cut off within slice %d", len(t.entries)+1)
+			return parsed{}, errorf("truncated or malformed in slice %d", len(t.entries)+1)
 		}
 		id := SliceID(raw[0])<<32 | SliceID(binary.BigEndian.Uint32(raw[1:]))
 		if k := len(t.entries); k > 0 && t.entries[k-1].id >= id {
-			return parsed{}, bad("slices are not in order")
+			return parsed{}, errorf("slices are not in ascending order of their IDs")
 		}
 		at := position.Position{Timeline: uint32(tl), LSN: lsn}
 		if at.IsZero() {
-			return parsed{}, bad("names a slice without a place")
+			return parsed{}, errorf("lists a slice without a log position")
 		}
 		t.entries = append(t.entries, entry{id, at})
 	}
@@ -417,23 +429,23 @@
 	}
 	p := parsed{token: t, body: b[:len(b)-len(r.b)], signed: flags&flagSigned != 0, scoped: flags&flagScoped != 0}
 	if !p.signed {
-		if len(r.b) != sumBytes || binary.BigEndian.Uint32(r.b) != sum(p.body) {
-			return parsed{}, bad("checksum is wrong: it was changed or cut off on the way")
+		if len(r.b) != checksumBytes || binary.BigEndian.Uint32(r.b) != checksum(p.body) {
+			return parsed{}, errorf("checksum does not match: the token was changed or truncated in transit")
 		}
 	} else {
 		if p.key = r.number(); !r.ok || len(r.b) != macBytes {
-			return parsed{}, bad("signature is cut off")
+			return parsed{}, errorf("signature is truncated")
 		}
 		p.body, p.mac = b[:len(b)-macBytes], r.b
 	}
 	if t.IsZero() {
-		return parsed{}, bad("asks for nothing")
+		return parsed{}, errorf("lists no slice and does not require the present")
 	}
 	return p, nil
 }
 
-// extensions reads those that are known, and passes over what a later version added, unless it says that it must
-// be understood.
+// extensions decodes the known extensions. It skips unknown ones of an even type, which a later version may add, and
+// refuses unknown ones of an odd type.
 func (r *reader) extensions(entries []entry) error {
 	n := r.number()
 	for range min(n, 16) {
@@ -443,30 +455,30 @@
 		switch {
 		case !r.ok:
 		case typ == extBelow:
-			err = takeColumn(body, entries, setBelow)
+			err = decodeColumn(body, entries, setBelow)
 		case typ == extExcept:
-			err = takeColumn(body, entries, setExceptDistance)
+			err = decodeColumn(body, entries, setExceptDistance)
 		}
 		if err != nil {
 			return err
 		}
 		if r.ok && typ%2 == 1 {
-			return bad("extension %d must be understood and is not known here", typ)
+			return errorf("required extension %d is not supported", typ)
 		}
 	}
 	if !r.ok || n > 16 {
-		return bad("extensions are cut off")
+		return errorf("extensions are truncated, or there are more than 16")
 	}
 	for i := range entries {
 		if !entries[i].at.Transactions.Normal() {
-			return bad("transactions of slice %d are not in normal form", i+1)
+			return errorf("transactions of slice %d are not in normal form", i+1)
 		}
 	}
 	return nil
 }
 
-// takeColumn reads one number of each entry.
-func takeColumn(body []byte, entries []entry, set func(*entry, uint64)) error {
+// decodeColumn decodes one number for each entry.
+func decodeColumn(body []byte, entries []entry, set func(*entry, uint64)) error {
 	r := reader{b: body, ok: true}
 	any := false
 	for i := range entries {
@@ -475,16 +487,16 @@
 		any = any || value > 0
 	}
 	if !r.ok || len(r.b) > 0 || !any {
-		return bad("transaction ids do not match the slices")
+		return errorf("transaction extension does not have one number for each slice, or all are 0")
 	}
 	return nil
 }
 
-// splitNamed reads version 1.
-func splitNamed(b []byte) (parsed, error) {
-	body := b[:len(b)-sumBytes]
-	if sum(body) != binary.BigEndian.Uint32(b[len(b)-sumBytes:]) {
-		return parsed{}, bad("checksum is wrong: it was changed or cut off on the way")
+// decodeV1 decodes version 1, which lists slices by name.
+func decodeV1(b []byte) (parsed, error) {
+	body := b[:len(b)-checksumBytes]
+	if checksum(body) != binary.BigEndian.Uint32(b[len(b)-checksumBytes:]) {
+		return parsed{}, errorf("checksum does not match: the token was changed or truncated in transit")
 	}
 	r := reader{b: body[1:], ok: true}
 	var t Token
@@ -492,17 +504,17 @@
 	for i := uint64(0); i < n && r.ok; i++ {
 		size := r.number()
 		if size == 0 || size > maxName {
-			return parsed{}, bad("name of slice %d is empty or over %d bytes", i+1, maxName)
+			return parsed{}, errorf("name of slice %d is empty or longer than %d bytes", i+1, maxName)
 		}
 		name := string(r.bytes(size))
 		tl, lsn := r.number(), r.number()
 		if tl > 1<<32-1 {
-			return parsed{}, bad("place in slice %q is wrong", name)
+			return parsed{}, errorf("timeline of slice %q is over 32 bits", name)
 		}
 		t = t.With(name, position.Position{Timeline: uint32(tl), LSN: lsn})
 	}
 	if !r.ok || len(r.b) > 0 || n == 0 {
-		return parsed{}, bad("cut off, or longer than it says")
+		return parsed{}, errorf("truncated, without slices, or followed by surplus bytes")
 	}
 	return parsed{token: t, body: body}, nil
 }
--- a/token/token_test.go
+++ b/token/token_test.go
@@ -15,7 +15,7 @@
 	"umberladder/position"
 )
 
-// drawTransactions draws a set as a replica's or a primary's snapshot gives it, often an empty one.
+// drawTransactions draws the transactions that a snapshot of a primary or a replica may show, often the empty set.
 func drawTransactions(t *rapid.T) position.Transactions {
 	next := rapid.Uint64Range(0, 6).Draw(t, "next")
 	s := position.Snapshot{Oldest: rapid.Uint64Range(0, next).Draw(t, "oldest"), Next: next}
@@ -39,30 +39,31 @@
 		tok := drawToken(t)
 		back, err := Parse(tok.String())
 		if err != nil || !back.Equal(tok) {
-			t.Fatalf("%+v became %+v, %v", tok, back, err)
+			t.Fatalf("%+v decoded as %+v, %v", tok, back, err)
 		}
 		scope := rapid.SampledFrom([]string{"", "s1"}).Draw(t, "scope")
 		signed, err := ring.Verify(ring.Sign(tok, scope), scope)
 		if err != nil || !signed.Equal(tok) {
-			t.Fatalf("signed %+v became %+v, %v", tok, signed, err)
+			t.Fatalf("signed %+v decoded as %+v, %v", tok, signed, err)
 		}
 	})
 }
 
-// TestExceptionsHaveOneForm: an exception that no set has is refused, so that a token has one text.
-func TestExceptionsHaveOneForm(t *testing.T) {
+// TestExceptionHasCanonicalEncoding: an excepted transaction that is not in normal form is refused, so that each token
+// has exactly one text.
+func TestExceptionHasCanonicalEncoding(t *testing.T) {
 	at := position.Position{Timeline: 1, LSN: 64, Transactions: position.Transactions{Below: 20, Except: 10}}
 	body := Token{}.With("news", at).appendBody(nil, 0)
 	for distance, ok := range map[byte]bool{10: true, 19: true, 0: false, 1: false, 20: false, 21: false} {
 		b := append(body[:len(body)-1:len(body)-1], distance)
-		got, err := Parse(base64.RawURLEncoding.EncodeToString(binary.BigEndian.AppendUint32(b, sum(b))))
+		got, err := Parse(base64.RawURLEncoding.EncodeToString(binary.BigEndian.AppendUint32(b, checksum(b))))
 		if (err == nil) != ok {
 			t.Errorf("distance %d: %+v, %v", distance, got, err)
 		}
 	}
 }
 
-// TestLattice: join is idempotent, commutative, associative and the least upper bound of the order.
+// TestLattice: Join is idempotent, commutative, associative and the least upper bound in the order of Covers.
 func TestLattice(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a, b, c := drawToken(t), drawToken(t), drawToken(t)
@@ -77,25 +78,25 @@
 		case !j.Covers(a) || !j.Covers(b):
 			t.Fatalf("not an upper bound: %+v of %+v and %+v", j, a, b)
 		case c.Covers(a) && c.Covers(b) && !c.Covers(j):
-			t.Fatalf("not the least: %+v, %+v is less", j, c)
+			t.Fatalf("not the least upper bound: %+v, %+v is lower", j, c)
 		case a.Covers(b) && b.Covers(a) && !a.Equal(b):
 			t.Fatalf("%+v and %+v cover each other", a, b)
 		case a.Covers(b) && b.Covers(c) && !a.Covers(c):
 			t.Fatal("the order is not transitive")
 		case !a.Covers(Token{}):
-			t.Fatal("something does not cover nothing")
+			t.Fatal("a token does not cover the zero token")
 		}
 		for _, s := range []string{"a", "b", "c", "d", "e", "f"} {
 			x, _ := a.At(s)
 			if y, _ := j.At(s); !y.Covers(x) {
-				t.Fatalf("the join asks for less of %s", s)
+				t.Fatalf("the join requires less of %s", s)
 			}
 		}
 	})
 }
 
-// TestBoundMakesStronger: a token that names too many slices asks for no less of any.
-func TestBoundMakesStronger(t *testing.T) {
+// TestSliceLimitKeepsRequirements: a token over the limit of slices still requires no less of any of them.
+func TestSliceLimitKeepsRequirements(t *testing.T) {
 	var tok Token
 	for i := range 3 * MaxSlices {
 		tok = tok.With(fmt.Sprintf("s%d", i), position.Position{Timeline: 1, LSN: uint64(i + 1)})
@@ -111,13 +112,13 @@
 	}
 }
 
-// TestSharedPart: a replica on a newer timeline that still replays the part shared with the older one does not
-// cover a later place of the older, and joining both loses neither.
-func TestSharedPart(t *testing.T) {
+// TestNewerTimelineLowerLSN: a position on a newer timeline with a lower LSN, as of a replica that still replays the
+// part shared with the older timeline, does not cover a higher LSN of the older one. Their join covers both.
+func TestNewerTimelineLowerLSN(t *testing.T) {
 	wrote := Token{}.With("news", position.Position{Timeline: 1, LSN: 23296})
 	read := Token{}.With("news", position.Position{Timeline: 2, LSN: 22400})
 	if read.Covers(wrote) || !read.Join(wrote).Covers(wrote) || !wrote.Join(read).Covers(read) {
-		t.Error("the write was lost")
+		t.Error("the read covers the write, or a join does not cover both")
 	}
 }
 
@@ -132,12 +133,13 @@
 	}
 }
 
-// TestAnyChangeIsNoticed flips each bit and cuts at each place, signed and not: none may pass as a token.
-func TestAnyChangeIsNoticed(t *testing.T) {
+// TestTamperingIsDetected flips each bit of a token and truncates it at each byte, signed and unsigned: every such text
+// must be refused.
+func TestTamperingIsDetected(t *testing.T) {
 	ring, _ := NewKeyring(map[uint64][]byte{1: []byte("0123456789abcdef")}, 1)
 	tok := Token{}.With("news", position.Position{Timeline: 3, LSN: 0x16b374d848})
 	for name, text := range map[string]string{"plain": tok.String(), "signed": ring.Sign(tok, ""), "bound": ring.Sign(tok, "s1")} {
-		take := func(text string) error {
+		parse := func(text string) error {
 			if name == "plain" {
 				_, err := Parse(text)
 				return err
@@ -150,12 +152,12 @@
 			for bit := range 8 {
 				changed := append([]byte(nil), raw...)
 				changed[i] ^= 1 << bit
-				if take(base64.RawURLEncoding.EncodeToString(changed)) == nil {
-					t.Errorf("%s: byte %d bit %d passes", name, i, bit)
+				if parse(base64.RawURLEncoding.EncodeToString(changed)) == nil {
+					t.Errorf("%s: a change of byte %d bit %d was accepted", name, i, bit)
 				}
 			}
-			if i > 0 && take(base64.RawURLEncoding.EncodeToString(raw[:i])) == nil {
-				t.Errorf("%s: cut after %d bytes it passes", name, i)
+			if i > 0 && parse(base64.RawURLEncoding.EncodeToString(raw[:i])) == nil {
+				t.Errorf("%s: a truncation after %d bytes was accepted", name, i)
 			}
 		}
 	}
@@ -167,7 +169,7 @@
 	}
 }
 
-// TestScopeAndRotation: a token swapped between sessions, one replayed after its key went, an unsigned one.
+// TestScopeAndRotation: tokens of another session, tokens signed with a key that was removed, and unsigned tokens.
 func TestScopeAndRotation(t *testing.T) {
 	old, next := []byte("0123456789abcdef"), []byte("fedcba9876543210")
 	before, _ := NewKeyring(map[uint64][]byte{1: old}, 1)
@@ -179,7 +181,7 @@
 		ring  *Keyring
 		text  string
 		scope string
-		say   string
+		want  string // part of the error, "" for none
 	}{
 		"its own session":        {before, text, "s1", ""},
 		"another session":        {before, text, "s2", "another session"},
@@ -187,15 +189,15 @@
 		"during the rotation":    {during, text, "s1", ""},
 		"after the rotation":     {after, text, "s1", "key 1, which is not known"},
 		"unsigned":               {before, tok.String(), "", "not signed"},
-		"unbound, by anybody":    {before, before.Sign(tok, ""), "s9", ""},
-		"without keys, as it is": {nil, tok.String(), "s1", ""},
+		"signed without a scope": {before, before.Sign(tok, ""), "s9", ""},
+		"driver without keys":    {nil, tok.String(), "s1", ""},
 	} {
 		got, err := c.ring.Verify(c.text, c.scope)
-		if c.say == "" && (err != nil || !got.Equal(tok)) {
+		if c.want == "" && (err != nil || !got.Equal(tok)) {
 			t.Errorf("%s: %v", name, err)
 		}
-		if c.say != "" && (err == nil || !strings.Contains(err.Error(), c.say)) {
-			t.Errorf("%s: %v, want %q", name, err, c.say)
+		if c.want != "" && (err == nil || !strings.Contains(err.Error(), c.want)) {
+			t.Errorf("%s: %v, want %q", name, err, c.want)
 		}
 	}
 }
@@ -209,24 +211,24 @@
 	}
 	os.Chmod(path, 0o644)
 	if _, err := LoadKeys(path); err == nil || !strings.Contains(err.Error(), "make it 0600") {
-		t.Errorf("a file open to others: %v", err)
+		t.Errorf("a file that others may read: %v", err)
 	}
-	for text, say := range map[string]string{"": "0 keys", "1 MDEyMzQ1Njc4OWFiY2RlZg==\n": "0 keys", "1 short sign": ":1: the key",
-		good + "2 MDEyMzQ1Njc4OWFiY2RlZg==": ":4: key 2 stands twice", "x MDEyMzQ1Njc4OWFiY2RlZg== sign": `"x" is no number`,
-		good + "3 MDEyMzQ1Njc4OWFiY2RlZg== sign": "2 keys are marked", "1": ":1: wants"} {
-		if _, err := parseKeys("f", text); err == nil || !strings.Contains(err.Error(), say) {
+	for text, want := range map[string]string{"": "0 keys", "1 MDEyMzQ1Njc4OWFiY2RlZg==\n": "0 keys", "1 short sign": ":1: the key",
+		good + "2 MDEyMzQ1Njc4OWFiY2RlZg==": ":4: key 2 is listed twice", "x MDEyMzQ1Njc4OWFiY2RlZg== sign": `"x" is not a key number`,
+		good + "3 MDEyMzQ1Njc4OWFiY2RlZg== sign": "2 keys are marked", "1": ":1: expected"} {
+		if _, err := parseKeys("f", text); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%q: %v", text, err)
 		}
 	}
 }
 
-// TestOtherVersions: version 1 is read; a later one's optional extension is passed over, a needed one refused.
+// TestOtherVersions: version 1 is parsed. An unknown extension of an even type is skipped, one of an odd type refused.
 func TestOtherVersions(t *testing.T) {
 	b := []byte{1}
 	b = binary.AppendUvarint(b, 1)
 	b = append(binary.AppendUvarint(b, 4), "news"...)
 	b = binary.AppendUvarint(binary.AppendUvarint(b, 3), 77)
-	old, err := Parse(base64.RawURLEncoding.EncodeToString(binary.BigEndian.AppendUint32(b, sum(b))))
+	old, err := Parse(base64.RawURLEncoding.EncodeToString(binary.BigEndian.AppendUint32(b, checksum(b))))
 	want := Token{}.With("news", position.Position{Timeline: 3, LSN: 77})
 	if err != nil || !old.Equal(want) {
 		t.Errorf("version 1: %+v, %v", old, err)
@@ -234,38 +236,38 @@
 	for typ, ok := range map[byte]bool{4: true, 3: false} {
 		b := want.appendBody(nil, 0)
 		b = append(b[:len(b)-1], 1, typ, 2, 'x', 'y')
-		got, err := Parse(base64.RawURLEncoding.EncodeToString(binary.BigEndian.AppendUint32(b, sum(b))))
+		got, err := Parse(base64.RawURLEncoding.EncodeToString(binary.BigEndian.AppendUint32(b, checksum(b))))
 		if (err == nil) != ok || ok && !got.Equal(want) {
 			t.Errorf("extension %d: %+v, %v", typ, got, err)
 		}
 	}
 }
 
-// TestBag: nothing is dropped, what is no token is known to have been one, and too many are known to be more.
-func TestBag(t *testing.T) {
+// TestSet: tokens are not dropped, malformed ones are counted as lost, and so are those over the limit.
+func TestSet(t *testing.T) {
 	one := func(lsn uint64) string {
 		return Token{}.With("news", position.Position{Timeline: 1, LSN: lsn}).String()
 	}
 	b := ParseBag(one(1)+"."+one(2), one(2)+", "+one(3))
-	if got, whole := b.Peek(); !whole || len(b.Texts()) != 3 {
-		t.Errorf("%v, %v, %v", b, got, whole)
+	if got, complete := b.Peek(); !complete || len(b.Texts()) != 3 {
+		t.Errorf("%v, %v, %v", b, got, complete)
 	}
-	if _, whole := b.Add("garbage").Peek(); whole {
-		t.Error("garbage went unnoticed")
+	if _, complete := b.Add("garbage").Peek(); complete {
+		t.Error("a malformed token was not counted as lost")
 	}
-	if _, whole := ParseBag(one(1)[:5]).Peek(); whole {
-		t.Error("a token cut on the way went unnoticed")
+	if _, complete := ParseBag(one(1)[:5]).Peek(); complete {
+		t.Error("a truncated token was not counted as lost")
 	}
 	for i := range uint64(2 * MaxBag) {
 		b = b.Add(one(100 + i))
 	}
-	if _, whole := b.Peek(); whole || len(b.Texts()) > MaxBag {
-		t.Errorf("%d texts, whole %v", len(b.Texts()), whole)
+	if _, complete := b.Peek(); complete || len(b.Texts()) > MaxBag {
+		t.Errorf("%d texts, complete %v", len(b.Texts()), complete)
 	}
 	handed := ParseBag(one(1), one(2))
 	later := handed.Add(one(9))
 	if got := later.Replace(handed, one(5)); got.String() != ParseBag(one(5), one(9)).String() {
-		t.Errorf("after an answer: %v", got)
+		t.Errorf("after Replace: %v", got)
 	}
 	rapid.Check(t, func(t *rapid.T) {
 		x, y := ParseBag(one(rapid.Uint64Range(1, 9).Draw(t, "x"))), ParseBag(one(rapid.Uint64Range(1, 9).Draw(t, "y")), "!")
@@ -287,23 +289,23 @@
 		}
 		back, err := Parse(tok.String())
 		if err != nil || !back.Equal(tok) {
-			t.Fatalf("%q: %+v is written as %q", text, tok, tok.String())
+			t.Fatalf("%q: %+v is encoded as %q", text, tok, tok.String())
 		}
 		if _, err := ring.Verify(text, ""); err == nil && text != "" && text != ring.Sign(tok, "") {
-			t.Fatalf("%q is believed", text)
+			t.Fatalf("%q was accepted", text)
 		}
 	})
 }
 
-func FuzzBag(f *testing.F) {
+func FuzzSet(f *testing.F) {
 	f.Add("a.b,c", "!")
 	f.Fuzz(func(t *testing.T, x, y string) {
 		b := ParseBag(x, y)
 		if len(b.Texts()) > MaxBag {
-			t.Fatal("too many")
+			t.Fatal("more than 16 texts")
 		}
 		if again := ParseBag(b.String()); again.String() != b.String() {
-			t.Fatalf("%q is read back as %q", b, again)
+			t.Fatalf("%q is parsed as %q", b, again)
 		}
 	})
 }
