--- a/carry/carry.go
+++ b/carry/carry.go
@@ -1,8 +1,10 @@
-// Package carry takes causal tokens through services that know nothing of them. A service that imports it
-// collects the tokens of every call that it makes and of the one that it serves, and passes their union up and
-// down: over gRPC by interceptors, over HTTP by a handler and a transport, in a header, a cookie and W3C
-// baggage. It needs no keys: it never reads a token, never drops one for seeming to be covered, and never takes
-// one that it can't read for nothing (see token.Bag).
+// Package carry propagates causal tokens through services over gRPC metadata, HTTP headers, cookies and W3C baggage,
+// and retries calls that a driver refused. In go the tokens of the request that a service serves and of the answers to
+// the calls that it makes; out goes their union, with every call made afterwards and with the service's own answer.
+// Authors of services install its gRPC interceptors, HTTP handler and HTTP transport, and pass on the request's context.
+//
+// It needs no keys and verifies no signature. A token that a caller sent is kept until an answer covers it, and a token
+// that cannot be parsed counts as lost, not as absent.
 package carry
 
 import (
@@ -13,96 +15,99 @@
 	"umberladder/token"
 )
 
-// Names under which tokens travel.
+// Names of the headers, the cookie, the metadata and the baggage member that carry tokens.
 const (
-	Header      = "Umberladder-Token"   // HTTP, in requests and answers
-	Cookie      = "umberladder"         // HTTP, for browsers
-	MetadataKey = "umberladder-token"   // gRPC, in requests, answers' headers and trailers
-	Settled     = "Umberladder-Settled" // HTTP and gRPC, in answers: the bag with a lost token that was settled
-	BaggageKey  = "umberladder.token"   // W3C baggage, in requests
-	maxCookie   = 3800                  // bytes of a cookie that browsers and proxies keep
+	Header      = "Umberladder-Token"   // HTTP header of requests and responses
+	Cookie      = "umberladder"         // HTTP cookie, for browsers
+	MetadataKey = "umberladder-token"   // gRPC metadata of requests and of the headers and trailers of responses
+	SettledKey  = "Umberladder-Settled" // HTTP header and gRPC trailer of responses: digest of the request's tokens if the response settled a lost one
+	BaggageKey  = "umberladder.token"   // member of the W3C baggage of requests
+	maxCookie   = 3800                  // longest value that browsers and proxies keep in a cookie, in bytes
 )
 
-// Collector is what one request has seen: the tokens that came with it and those of all calls made for it. It
-// is safe for concurrent use.
+// Collector holds the tokens that one request has observed: those that it carried and those of the answers to the calls
+// made for it. A nil *Collector ignores additions and returns no tokens. It is safe for concurrent use; its methods do
+// not block on I/O.
 type Collector struct {
-	mu    sync.Mutex
-	bag   token.Bag
-	first token.Bag // what it began with
+	mu      sync.Mutex
+	tokens  token.Bag
+	initial token.Bag // tokens that the request carried
 }
 
-// Bag is the union so far.
+// Bag returns the union of all tokens collected so far.
 func (c *Collector) Bag() token.Bag {
 	if c == nil {
 		return token.Bag{}
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.bag
+	return c.tokens
 }
 
-// Add takes note of tokens as they came in headers.
+// Add adds the tokens of header values, each a list separated by dots, commas or spaces. A malformed token counts as
+// lost.
 func (c *Collector) Add(values ...string) {
 	if c == nil {
 		return
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.bag = c.bag.Join(token.ParseBag(values...))
+	c.tokens = c.tokens.Join(token.ParseBag(values...))
 }
 
-// Answered takes note of the tokens of an answer to a call. What they cover is not carried on beside them.
+// Answered adds the tokens of the answer to a call and removes collected tokens that they cover.
 func (c *Collector) Answered(values ...string) {
 	if c == nil || len(values) == 0 {
 		return
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.bag = c.bag.Absorb(token.ParseBag(values...))
+	c.tokens = c.tokens.Absorb(token.ParseBag(values...))
 }
 
-// settled takes note that whoever was handed a bag in which a token was lost has settled that: a driver answered
-// by the present of the slice, and its token asks for the present of the others. The digest proves that the
-// very bag arrived.
-func (c *Collector) settled(handed token.Bag, digests []string, values ...string) {
-	if c == nil || !handed.HasUnknown() || !slices.Contains(digests, handed.Digest()) {
+// replaceLost replaces the tokens sent with a call by those of its answer, if a token was lost among the sent ones and the
+// answer's digests include theirs. A driver then answered from the present of the slice, with a token that requires the
+// present of all other slices, and the digest shows that the tokens sent arrived unchanged.
+func (c *Collector) replaceLost(sent token.Bag, digests []string, values ...string) {
+	if c == nil || !sent.HasUnknown() || !slices.Contains(digests, sent.Digest()) {
 		return
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.bag = c.bag.Replace(handed, "").Absorb(token.ParseBag(values...))
+	c.tokens = c.tokens.Replace(sent, "").Absorb(token.ParseBag(values...))
 }
 
-// settles is the digest to hand back if the lost token that came was settled, "" if not, or if none came.
-func (c *Collector) settles() string {
-	if c.first.HasUnknown() && !c.Bag().HasUnknown() {
-		return c.first.Digest()
+// settledDigest returns the digest of the tokens that the request carried if one of them was lost and has been settled,
+// that is, an answer covers it. Otherwise it returns "".
+func (c *Collector) settledDigest() string {
+	if c.initial.HasUnknown() && !c.Bag().HasUnknown() {
+		return c.initial.Digest()
 	}
 	return ""
 }
 
-// Covered takes note that a driver answered: its token stands for all that it was handed.
-func (c *Collector) Covered(handed token.Bag, answer string) {
+// Covered replaces the tokens sent with a call by the token of the driver's answer, which covers all of them.
+func (c *Collector) Covered(sent token.Bag, answer string) {
 	if c == nil {
 		return
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.bag = c.bag.Replace(handed, answer)
+	c.tokens = c.tokens.Replace(sent, answer)
 }
 
-type key struct{}
+type contextKey struct{}
 
-// NewContext returns a context that collects, beginning with the tokens given.
+// NewContext returns a context with a new Collector that holds the tokens of the given header values, and the Collector.
 func NewContext(ctx context.Context, values ...string) (context.Context, *Collector) {
 	c := &Collector{}
 	c.Add(values...)
-	c.first = c.bag
-	return context.WithValue(ctx, key{}, c), c
+	c.initial = c.tokens
+	return context.WithValue(ctx, contextKey{}, c), c
 }
 
-// FromContext is the collector of a context, nil if there is none; a nil Collector collects nothing.
+// FromContext returns the Collector of a context, nil if there is none.
 func FromContext(ctx context.Context) *Collector {
-	c, _ := ctx.Value(key{}).(*Collector)
+	c, _ := ctx.Value(contextKey{}).(*Collector)
 	return c
 }
--- a/carry/carry_test.go
+++ b/carry/carry_test.go
@@ -29,8 +29,8 @@
 	return token.Token{}.With(slice, position.Position{Timeline: 1, LSN: lsn}).String()
 }
 
-// TestHTTPChain: browser, front and back; the back's token reaches the browser, the browser's the back, and the
-// back sees what the front saw elsewhere.
+// TestHTTPChain: browser, front end and back end. The back end receives the tokens of the browser and those that the
+// front end collected before the call; the browser receives the union with the back end's token.
 func TestHTTPChain(t *testing.T) {
 	var seen token.Bag
 	back := httptest.NewServer(Handler(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -66,11 +66,11 @@
 		res.Body.Close()
 		want := token.ParseBag(tok("news", 3), tok("pages", 2))
 		if seen.String() != want.String() {
-			t.Errorf("%s: the back saw %v, want %v", name, seen, want)
+			t.Errorf("%s: the back end received %v, want %v", name, seen, want)
 		}
 		want = want.Add(tok("comments", 7))
 		if got := res.Header.Get(Header); got != want.String() {
-			t.Errorf("%s: the browser got %q", name, got)
+			t.Errorf("%s: the browser received %q", name, got)
 		}
 		if c := res.Cookies(); len(c) != 1 || c[0].Value != want.String() {
 			t.Errorf("%s: cookies %v", name, c)
@@ -78,40 +78,41 @@
 	}
 }
 
-// TestSpoiltCarriage: duplicates, lists, over-long and malformed values; what was a token is never nothing.
-func TestSpoiltCarriage(t *testing.T) {
+// TestRequestTokens: duplicate, listed, overlong and malformed values. A value that is not a token counts as a lost one,
+// never as absent.
+func TestRequestTokens(t *testing.T) {
 	long := strings.Repeat(tok("news", 3)+".", 6000)
 	for name, c := range map[string]struct {
 		set   func(r *http.Request)
 		lost  bool
 		texts int
 	}{
-		"nothing":               {func(*http.Request) {}, false, 0},
-		"twice the same":        {func(r *http.Request) { r.Header.Add(Header, tok("a", 1)); r.Header.Add(Header, tok("a", 1)) }, false, 1},
-		"a list":                {func(r *http.Request) { r.Header.Set(Header, tok("a", 1)+", "+tok("b", 1)) }, false, 2},
-		"malformed":             {func(r *http.Request) { r.Header.Set(Header, "%%%") }, true, 1},
-		"cookie cut by a proxy": {func(r *http.Request) { r.AddCookie(&http.Cookie{Name: Cookie, Value: tok("a", 1)[:7]}) }, true, 1},
-		"baggage spoilt":        {func(r *http.Request) { r.Header.Set("Baggage", BaggageKey+"=%zz") }, true, 1},
-		"over-long":             {func(r *http.Request) { r.Header.Set(Header, long) }, true, 1},
+		"nothing":           {func(*http.Request) {}, false, 0},
+		"duplicate":         {func(r *http.Request) { r.Header.Add(Header, tok("a", 1)); r.Header.Add(Header, tok("a", 1)) }, false, 1},
+		"a list":            {func(r *http.Request) { r.Header.Set(Header, tok("a", 1)+", "+tok("b", 1)) }, false, 2},
+		"malformed":         {func(r *http.Request) { r.Header.Set(Header, "%%%") }, true, 1},
+		"truncated cookie":  {func(r *http.Request) { r.AddCookie(&http.Cookie{Name: Cookie, Value: tok("a", 1)[:7]}) }, true, 1},
+		"malformed baggage": {func(r *http.Request) { r.Header.Set("Baggage", BaggageKey+"=%zz") }, true, 1},
+		"overlong":          {func(r *http.Request) { r.Header.Set(Header, long) }, true, 1},
 	} {
 		r := httptest.NewRequest("GET", "/", nil)
 		c.set(r)
 		_, col := NewContext(r.Context(), fromRequest(r)...)
-		if _, whole := col.Bag().Peek(); whole == c.lost || len(col.Bag().Texts()) != c.texts {
-			t.Errorf("%s: %q, whole %v", name, col.Bag(), whole)
+		if _, complete := col.Bag().Peek(); complete == c.lost || len(col.Bag().Texts()) != c.texts {
+			t.Errorf("%s: %q, complete %v", name, col.Bag(), complete)
 		}
 	}
 }
 
-// health is a service whose every check sees a token.
+// health is a service that observes one token in each call.
 type health struct {
 	grpc_health_v1.UnimplementedHealthServer
-	heard string
-	adds  string
+	received string
+	adds     string
 }
 
 func (h *health) Check(ctx context.Context, _ *grpc_health_v1.HealthCheckRequest) (*grpc_health_v1.HealthCheckResponse, error) {
-	h.heard = FromContext(ctx).Bag().String()
+	h.received = FromContext(ctx).Bag().String()
 	FromContext(ctx).Add(h.adds)
 	return &grpc_health_v1.HealthCheckResponse{}, nil
 }
@@ -143,8 +144,8 @@
 		t.Fatal(err)
 	}
 	want := token.ParseBag(tok("news", 3), tok("comments", 4)).String()
-	if h.heard != tok("news", 3) || c.Bag().String() != want {
-		t.Errorf("heard %q, collected %q", h.heard, c.Bag())
+	if h.received != tok("news", 3) || c.Bag().String() != want {
+		t.Errorf("received %q, collected %q", h.received, c.Bag())
 	}
 	h.adds = tok("pages", 9)
 	s, err := client.Watch(ctx, &grpc_health_v1.HealthCheckRequest{})
@@ -159,8 +160,8 @@
 	}
 }
 
-// TestLostTokenIsSettled: who called a driver with a bag in which a token was lost has an answer that covers it;
-// that comes up the chain, but only where the very bag arrived.
+// TestLostTokenIsSettled: a driver's answer covers a lost token among those sent with the call. The caller drops the lost
+// token only if its own tokens arrived, not if a hop in between dropped them.
 func TestLostTokenIsSettled(t *testing.T) {
 	for _, drops := range []bool{false, true} {
 		back := httptest.NewServer(Handler(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -170,7 +171,7 @@
 		ctx, c := NewContext(t.Context(), tok("news", 3), token.Unknown)
 		base := http.RoundTripper(http.DefaultTransport)
 		if drops {
-			base = dropper{}
+			base = droppingHop{}
 		}
 		req, _ := http.NewRequestWithContext(ctx, "GET", back.URL, nil)
 		res, err := (&http.Client{Transport: &Transport{Base: base}}).Do(req)
@@ -180,24 +181,24 @@
 		res.Body.Close()
 		back.Close()
 		if c.Bag().HasUnknown() != drops {
-			t.Errorf("drops %v: the bag is %q", drops, c.Bag())
+			t.Errorf("tokens dropped %v: collected %q", drops, c.Bag())
 		}
 	}
 }
 
-// dropper is a hop that loses tokens.
-type dropper struct{}
+// droppingHop is a hop that drops tokens.
+type droppingHop struct{}
 
-func (dropper) RoundTrip(r *http.Request) (*http.Response, error) {
+func (droppingHop) RoundTrip(r *http.Request) (*http.Response, error) {
 	r = r.Clone(r.Context())
 	r.Header.Del(Header)
 	r.Header.Del("Baggage")
 	return http.DefaultTransport.RoundTrip(r)
 }
 
-// FuzzCarried reads what may come in a cookie, a header and baggage. Whatever it is, nothing is taken for no token that
-// was one, and what goes on is read back as it was.
-func FuzzCarried(f *testing.F) {
+// FuzzRequestTokens parses arbitrary cookies, headers and baggage. A header that is not empty must count as at least one
+// token, and tokens sent on in baggage must be parsed as the same tokens.
+func FuzzRequestTokens(f *testing.F) {
 	f.Add("a.b", "AgAB", "x=1,umberladder.token=%41;p=q")
 	f.Add("!", "", "umberladder.token=%zz")
 	f.Fuzz(func(t *testing.T, cookie, header, baggage string) {
@@ -205,44 +206,45 @@
 		r.Header[Header], r.Header["Baggage"] = []string{header}, []string{baggage}
 		r.Header["Cookie"] = []string{Cookie + "=" + cookie}
 		_, c := NewContext(t.Context(), fromRequest(r)...)
-		bag := c.Bag()
-		if len(bag.Texts()) > token.MaxBag {
-			t.Fatalf("%d texts", len(bag.Texts()))
+		tokens := c.Bag()
+		if len(tokens.Texts()) > token.MaxBag {
+			t.Fatalf("%d texts", len(tokens.Texts()))
 		}
-		if strings.Trim(header, "., ") != "" && bag.IsEmpty() {
+		if strings.Trim(header, "., ") != "" && tokens.IsEmpty() {
 			t.Fatalf("header %q counts as no token", header)
 		}
-		again := fromBaggage([]string{withBaggage([]string{baggage}, bag.String())})
-		if got := token.ParseBag(again...); got.String() != bag.String() {
-			t.Fatalf("%q goes on as %q", bag, got)
+		resent := fromBaggage([]string{withBaggage([]string{baggage}, tokens.String())})
+		if got := token.ParseBag(resent...); got.String() != tokens.String() {
+			t.Fatalf("%q was sent on as %q", tokens, got)
 		}
 	})
 }
 
-// refusing is a driver that refuses so many calls, as drivers do, and notes the attempts' numbers.
-type refusing struct {
+// failingDriver is a driver that fails a number of calls, with the error details that drivers send, and records the attempt
+// numbers.
+type failingDriver struct {
 	grpc_health_v1.UnimplementedHealthServer
 	mu       sync.Mutex
-	refuse   int
-	push     string
+	failures int
+	pushback string
 	numbers  []string
 	clients  []string
-	unharmed bool // REFUSED; else it failed
+	refused  bool // the reason is REFUSED, else FAILED
 }
 
-func (r *refusing) Check(ctx context.Context, _ *grpc_health_v1.HealthCheckRequest) (*grpc_health_v1.HealthCheckResponse, error) {
+func (r *failingDriver) Check(ctx context.Context, _ *grpc_health_v1.HealthCheckRequest) (*grpc_health_v1.HealthCheckResponse, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	md, _ := metadata.FromIncomingContext(ctx)
 	r.numbers, r.clients = append(r.numbers, md.Get(AttemptKey)...), append(r.clients, md.Get(ClientKey)...)
-	if len(r.numbers) > r.refuse {
+	if len(r.numbers) > r.failures {
 		return &grpc_health_v1.HealthCheckResponse{}, nil
 	}
-	if r.push != "" {
-		grpc.SetTrailer(ctx, metadata.Pairs(Pushback, r.push))
+	if r.pushback != "" {
+		grpc.SetTrailer(ctx, metadata.Pairs(Pushback, r.pushback))
 	}
 	reason := "FAILED"
-	if r.unharmed {
+	if r.refused {
 		reason = "REFUSED"
 	}
 	st, err := status.New(codes.Unavailable, "no").WithDetails(&errdetails.ErrorInfo{Domain: "umberladder", Reason: reason},
@@ -253,24 +255,24 @@
 	return nil, st.Err()
 }
 
-// TestRetries: what was refused comes again as advised, numbered, and within the budget; what failed, or must not come
-// again, does not.
-func TestRetries(t *testing.T) {
+// TestRetrier: refused calls are repeated with attempt numbers and within the budget. Calls that failed, and calls that
+// the driver forbids to repeat, are not.
+func TestRetrier(t *testing.T) {
 	for _, c := range []struct {
 		name    string
-		server  *refusing
-		retries *Retries
-		in      string // the number of the attempt that is being served
+		server  *failingDriver
+		retries *Retrier
+		in      string // attempt number of the call being served
 		numbers string
 		served  bool
 	}{
-		{"refused twice", &refusing{refuse: 2, unharmed: true}, &Retries{Most: 3, Burst: 5, Client: "app"}, "", "0 1 2", true},
-		{"in the midst of a further attempt", &refusing{refuse: 1, unharmed: true}, &Retries{Most: 3, Burst: 5}, "2", "2 3", true},
-		{"too often", &refusing{refuse: 9, unharmed: true}, &Retries{Most: 2, Burst: 5}, "", "0 1 2", false},
-		{"no budget", &refusing{refuse: 9, unharmed: true}, &Retries{Most: 9, Burst: 2}, "", "0 1 2", false},
-		{"failed", &refusing{refuse: 1}, &Retries{Most: 3, Burst: 5}, "", "0", false},
-		{"never again", &refusing{refuse: 1, unharmed: true, push: "-1"}, &Retries{Most: 3, Burst: 5}, "", "0", false},
-		{"none wanted", &refusing{refuse: 1, unharmed: true}, &Retries{}, "", "0", false},
+		{"refused twice", &failingDriver{failures: 2, refused: true}, &Retrier{MaxRetries: 3, BudgetBurst: 5, ClientName: "app"}, "", "0 1 2", true},
+		{"while serving a further attempt", &failingDriver{failures: 1, refused: true}, &Retrier{MaxRetries: 3, BudgetBurst: 5}, "2", "2 3", true},
+		{"more often than MaxRetries", &failingDriver{failures: 9, refused: true}, &Retrier{MaxRetries: 2, BudgetBurst: 5}, "", "0 1 2", false},
+		{"budget spent", &failingDriver{failures: 9, refused: true}, &Retrier{MaxRetries: 9, BudgetBurst: 2}, "", "0 1 2", false},
+		{"failed", &failingDriver{failures: 1}, &Retrier{MaxRetries: 3, BudgetBurst: 5}, "", "0", false},
+		{"forbidden by the driver", &failingDriver{failures: 1, refused: true, pushback: "-1"}, &Retrier{MaxRetries: 3, BudgetBurst: 5}, "", "0", false},
+		{"zero Retrier", &failingDriver{failures: 1, refused: true}, &Retrier{}, "", "0", false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -282,7 +284,7 @@
 			go srv.Serve(l)
 			defer srv.Stop()
 			conn, err := grpc.NewClient("passthrough:///"+l.Addr().String(), grpc.WithTransportCredentials(insecure.NewCredentials()),
-				grpc.WithUnaryInterceptor(c.retries.Unary()))
+				grpc.WithUnaryInterceptor(c.retries.UnaryClient()))
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -295,25 +297,25 @@
 			if got := strings.Join(c.server.numbers, " "); got != c.numbers || (err == nil) != c.served {
 				t.Errorf("attempts %s, %v; want %s", got, err, c.numbers)
 			}
-			if c.retries.Client != "" && !slices.Equal(c.server.clients, []string{"app", "app", "app"}) {
+			if c.retries.ClientName != "" && !slices.Equal(c.server.clients, []string{"app", "app", "app"}) {
 				t.Errorf("clients %v", c.server.clients)
 			}
 		})
 	}
 }
 
-// TestRetryBudget: over many refused calls, further attempts stay at the share that first ones earn.
+// TestRetryBudget: over many refused calls, further attempts stay at the budget ratio of the first attempts.
 func TestRetryBudget(t *testing.T) {
-	r := &Retries{Most: 5, Share: 0.1, Burst: 3}
+	r := &Retrier{MaxRetries: 5, BudgetRatio: 0.1, BudgetBurst: 3}
 	invoke := func(context.Context, string, any, any, *grpc.ClientConn, ...grpc.CallOption) error {
 		st, _ := status.New(codes.Unavailable, "no").WithDetails(&errdetails.ErrorInfo{Domain: "umberladder", Reason: "REFUSED"},
 			&errdetails.RetryInfo{RetryDelay: durationpb.New(time.Microsecond)})
 		return st.Err()
 	}
 	for range 1000 {
-		r.Unary()(t.Context(), "m", nil, nil, nil, invoke)
+		r.UnaryClient()(t.Context(), "m", nil, nil, nil, invoke)
 	}
-	if first, again := r.Counts(); first != 1000 || again < 95 || again > 104 {
-		t.Errorf("%d first and %d further attempts", first, again)
+	if first, further := r.Counts(); first != 1000 || further < 95 || further > 104 {
+		t.Errorf("%d first and %d further attempts", first, further)
 	}
 }
--- a/carry/grpc.go
+++ b/carry/grpc.go
@@ -7,10 +7,10 @@
 	"google.golang.org/grpc/metadata"
 )
 
-// outgoing puts what was collected into a call's metadata, in place of what is there under the key.
+// outgoing sets the collected tokens in the metadata of a call and replaces those that the metadata has.
 func outgoing(ctx context.Context) context.Context {
-	bag := FromContext(ctx).Bag()
-	if bag.IsEmpty() {
+	tokens := FromContext(ctx).Bag()
+	if tokens.IsEmpty() {
 		return ctx
 	}
 	md, ok := metadata.FromOutgoingContext(ctx)
@@ -18,25 +18,27 @@
 		md = metadata.MD{}
 	}
 	md = md.Copy()
-	md.Set(MetadataKey, bag.String())
+	md.Set(MetadataKey, tokens.String())
 	return metadata.NewOutgoingContext(ctx, md)
 }
 
-// UnaryClient carries tokens with unary calls and collects those of their answers, also of failed ones.
+// UnaryClient returns an interceptor for unary calls. It sends the tokens of the context's Collector and adds those of
+// the answer to it, also if the call failed. It returns the error of the call.
 func UnaryClient() grpc.UnaryClientInterceptor {
 	return func(ctx context.Context, method string, req, reply any, cc *grpc.ClientConn, invoke grpc.UnaryInvoker, opts ...grpc.CallOption) error {
 		c := FromContext(ctx)
-		handed := c.Bag()
+		sent := c.Bag()
 		ctx = outgoing(ctx)
-		var head, tail metadata.MD
-		err := invoke(ctx, method, req, reply, cc, append(opts, grpc.Header(&head), grpc.Trailer(&tail))...)
-		c.Answered(append(head.Get(MetadataKey), tail.Get(MetadataKey)...)...)
-		c.settled(handed, tail.Get(Settled), tail.Get(MetadataKey)...)
+		var header, trailer metadata.MD
+		err := invoke(ctx, method, req, reply, cc, append(opts, grpc.Header(&header), grpc.Trailer(&trailer))...)
+		c.Answered(append(header.Get(MetadataKey), trailer.Get(MetadataKey)...)...)
+		c.replaceLost(sent, trailer.Get(SettledKey), trailer.Get(MetadataKey)...)
 		return err
 	}
 }
 
-// StreamClient does the same for streams; an answer's tokens count once its header or its end came.
+// StreamClient returns an interceptor for streams. It sends the tokens of the context's Collector when the stream is
+// opened and adds those of the answer once RecvMsg returns an error, io.EOF included.
 func StreamClient() grpc.StreamClientInterceptor {
 	return func(ctx context.Context, desc *grpc.StreamDesc, cc *grpc.ClientConn, method string, open grpc.Streamer, opts ...grpc.CallOption) (grpc.ClientStream, error) {
 		c := FromContext(ctx)
@@ -57,40 +59,41 @@
 func (s *clientStream) RecvMsg(m any) error {
 	err := s.ClientStream.RecvMsg(m)
 	if err != nil {
-		if head, e := s.Header(); e == nil {
-			s.collector.Answered(head.Get(MetadataKey)...)
+		if header, e := s.Header(); e == nil {
+			s.collector.Answered(header.Get(MetadataKey)...)
 		}
 		s.collector.Answered(s.Trailer().Get(MetadataKey)...)
 	}
 	return err
 }
 
-// incoming begins to collect with the tokens that came.
+// incoming returns a context with a Collector of the tokens in the incoming metadata.
 func incoming(ctx context.Context) (context.Context, *Collector) {
 	md, _ := metadata.FromIncomingContext(ctx)
 	return NewContext(ctx, md.Get(MetadataKey)...)
 }
 
-// UnaryServer collects while a call is served and hands the union back in the trailer, also with an error: what
-// the service saw on the way it has seen.
+// UnaryServer returns an interceptor that gives the handler a context with a Collector and sends the collected tokens in
+// the trailer. It sends them also if the handler returns an error, as the service may have observed data before.
 func UnaryServer() grpc.UnaryServerInterceptor {
 	return func(ctx context.Context, req any, _ *grpc.UnaryServerInfo, handle grpc.UnaryHandler) (any, error) {
 		ctx, c := incoming(ctx)
 		res, err := handle(ctx, req)
-		if bag := c.Bag(); !bag.IsEmpty() {
-			grpc.SetTrailer(ctx, metadata.Pairs(MetadataKey, bag.String(), Settled, c.settles()))
+		if tokens := c.Bag(); !tokens.IsEmpty() {
+			grpc.SetTrailer(ctx, metadata.Pairs(MetadataKey, tokens.String(), SettledKey, c.settledDigest()))
 		}
 		return res, err
 	}
 }
 
-// StreamServer does the same for streams.
+// StreamServer returns an interceptor that does for streams what UnaryServer does for unary calls, except that it sends no
+// digest of lost tokens.
 func StreamServer() grpc.StreamServerInterceptor {
 	return func(srv any, ss grpc.ServerStream, _ *grpc.StreamServerInfo, handle grpc.StreamHandler) error {
 		ctx, c := incoming(ss.Context())
 		err := handle(srv, &serverStream{ss, ctx})
-		if bag := c.Bag(); !bag.IsEmpty() {
-			ss.SetTrailer(metadata.Pairs(MetadataKey, bag.String()))
+		if tokens := c.Bag(); !tokens.IsEmpty() {
+			ss.SetTrailer(metadata.Pairs(MetadataKey, tokens.String()))
 		}
 		return err
 	}
--- a/carry/http.go
+++ b/carry/http.go
@@ -8,8 +8,8 @@
 	"umberladder/token"
 )
 
-// fromRequest is every token that came with an HTTP request, by any of the three ways. A cookie that a proxy
-// cut, or one that is over-long, counts as a token that was lost.
+// fromRequest returns the token texts of the header, the cookies and the baggage of a request. A truncated or overlong
+// cookie is returned as it is and later counts as a lost token.
 func fromRequest(r *http.Request) []string {
 	values := append([]string(nil), r.Header.Values(Header)...)
 	for _, c := range r.Cookies() {
@@ -20,7 +20,7 @@
 	return append(values, fromBaggage(r.Header.Values("Baggage"))...)
 }
 
-// fromBaggage picks the token out of W3C baggage: members separated by commas, each NAME=VALUE;PROPERTIES.
+// fromBaggage returns the token texts in W3C baggage: members separated by commas, each NAME=VALUE;PROPERTIES.
 func fromBaggage(headers []string) (values []string) {
 	for _, h := range headers {
 		for _, member := range strings.Split(h, ",") {
@@ -39,8 +39,8 @@
 	return values
 }
 
-// withBaggage is the baggage of a request with the token's member set, the others as they are.
-func withBaggage(headers []string, bag string) string {
+// withBaggage returns the baggage with the token member set and all other members unchanged.
+func withBaggage(headers []string, tokens string) string {
 	var members []string
 	for _, h := range headers {
 		for _, member := range strings.Split(h, ",") {
@@ -49,87 +49,90 @@
 			}
 		}
 	}
-	return strings.Join(append(members, BaggageKey+"="+url.PathEscape(bag)), ",")
+	return strings.Join(append(members, BaggageKey+"="+url.PathEscape(tokens)), ",")
 }
 
-// Handler collects while next serves a request and hands the union back in the answer's header and, if cookie
-// is true, in a cookie. Answers that it marks must not be kept by shared caches; causalcache keeps them rightly.
+// Handler returns a handler that gives next a request whose context has a Collector, and sets the collected tokens in
+// the header of the response and, if cookie is true, in a cookie. Only tokens collected before the first Write or
+// WriteHeader are sent. A response with tokens gets Cache-Control: private, as a shared cache would serve it without
+// regard to tokens; package causalcache takes them into account.
 func Handler(next http.Handler, cookie bool) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		ctx, c := NewContext(r.Context(), fromRequest(r)...)
 		cw := &responseWriter{ResponseWriter: w, collector: c, cookie: cookie}
 		next.ServeHTTP(cw, r.WithContext(ctx))
-		cw.mark()
+		cw.addTokens()
 	})
 }
 
-// responseWriter adds the tokens when the header is about to go out: by then the work is done.
+// responseWriter adds the tokens to the header at the first Write or WriteHeader, when the handler has made its calls.
 type responseWriter struct {
 	http.ResponseWriter
 	collector *Collector
 	cookie    bool
-	marked    bool
+	added     bool
 }
 
-func (w *responseWriter) mark() {
-	if w.marked {
+func (w *responseWriter) addTokens() {
+	if w.added {
 		return
 	}
-	w.marked = true
-	bag := w.collector.Bag()
-	if bag.IsEmpty() {
+	w.added = true
+	tokens := w.collector.Bag()
+	if tokens.IsEmpty() {
 		return
 	}
-	text := bag.String()
+	text := tokens.String()
 	w.Header().Set(Header, text)
-	if digest := w.collector.settles(); digest != "" {
-		w.Header().Set(Settled, digest)
+	if digest := w.collector.settledDigest(); digest != "" {
+		w.Header().Set(SettledKey, digest)
 	}
 	w.Header().Add("Cache-Control", "private")
 	if w.cookie {
 		if len(text) > maxCookie {
-			text = token.Unknown // cut by a browser it would say the same, but not as plainly
+			text = token.Unknown // a truncated token would count as lost as well; Unknown states it
 		}
 		http.SetCookie(w.ResponseWriter, &http.Cookie{Name: Cookie, Value: text, Path: "/", HttpOnly: true, SameSite: http.SameSiteLaxMode})
 	}
 }
 
 func (w *responseWriter) WriteHeader(status int) {
-	w.mark()
+	w.addTokens()
 	w.ResponseWriter.WriteHeader(status)
 }
 
 func (w *responseWriter) Write(b []byte) (int, error) {
-	w.mark()
+	w.addTokens()
 	return w.ResponseWriter.Write(b)
 }
 
-// Unwrap lets http.ResponseController reach the writer below.
+// Unwrap returns the underlying writer, for http.ResponseController.
 func (w *responseWriter) Unwrap() http.ResponseWriter { return w.ResponseWriter }
 
-// Transport carries tokens with the requests of a client, in header and baggage, and collects those of answers.
+// Transport is an http.RoundTripper that sends the tokens of the request context's Collector in header and baggage, and
+// adds those of the response to it.
 type Transport struct {
-	Base http.RoundTripper // http.DefaultTransport if nil
+	Base http.RoundTripper // sends the requests; nil means http.DefaultTransport
 }
 
-// RoundTrip implements http.RoundTripper.
+// RoundTrip implements http.RoundTripper. It does not change r, blocks as Base does and returns the errors of Base.
 func (t *Transport) RoundTrip(r *http.Request) (*http.Response, error) {
 	base := t.Base
 	if base == nil {
 		base = http.DefaultTransport
 	}
 	c := FromContext(r.Context())
-	bag := c.Bag()
-	if !bag.IsEmpty() {
+	tokens := c.Bag()
+	if !tokens.IsEmpty() {
 		r = r.Clone(r.Context())
-		r.Header.Set(Header, bag.String())
-		r.Header.Set("Baggage", withBaggage(r.Header.Values("Baggage"), bag.String()))
+		r.Header.Set(Header, tokens.String())
+		r.Header.Set("Baggage", withBaggage(r.Header.Values("Baggage"), tokens.String()))
 	}
 	res, err := base.RoundTrip(r)
 	if err != nil {
 		return nil, err
 	}
 	c.Answered(res.Header.Values(Header)...)
-	c.settled(bag, res.Header.Values(Settled), res.Header.Values(Header)...)
+	c.replaceLost(tokens, res.Header.Values(SettledKey), res.Header.Values(Header)...)
 	return res, nil
 }
--- a/carry/retry.go
+++ b/carry/retry.go
@@ -13,75 +13,79 @@
 	"google.golang.org/grpc/status"
 )
 
-// Metadata that drivers and clients exchange about further attempts.
+// Metadata keys that drivers and clients exchange about retries.
 const (
-	ClientKey  = "umberladder-client"     // in requests: the name of the client, for fair shares
-	AttemptKey = "umberladder-attempt"    // in requests: the number of the attempt, from 0, over all hops
-	Pushback   = "grpc-retry-pushback-ms" // in answers' trailers: when to come back; -1 for never
+	ClientKey  = "umberladder-client"     // in requests: the name of the client, by which drivers share capacity fairly
+	AttemptKey = "umberladder-attempt"    // in requests: the number of the attempt, 0 for the first, summed over all hops
+	Pushback   = "grpc-retry-pushback-ms" // in trailers of responses: the delay before the next attempt, in milliseconds; -1 forbids another
 )
 
-// Retries tries again what a driver refused, which is harmless, and keeps to what the driver advises and to a budget
-// of its own: a share of the first attempts. Services on the way count the attempts of the call that they serve, so
-// that those of several hops do not multiply. The zero Retries never tries again. It is safe for concurrent use.
-type Retries struct {
-	Most   int           // further attempts of one call
-	Share  float64       // further attempts that each first one earns
-	Burst  float64       // that may come before any is earned
-	Wait   time.Duration // before a further attempt without advice, growing twofold; 0 for 50 ms
-	Client string        // this client's name, "" for none
+// Retrier repeats unary calls that a driver refused, which is safe, as a refused request has not run. It waits as long
+// as the driver advises and limits further attempts to a retry budget, a ratio of the first attempts. It adds the
+// attempt number of the call being served to that of the calls made for it, so that drivers can bound the attempts over
+// several hops. The zero Retrier makes no further attempts. It is safe for concurrent use.
+type Retrier struct {
+	MaxRetries  int           // largest number of further attempts of one call
+	BudgetRatio float64       // further attempts that each first attempt adds to the budget
+	BudgetBurst float64       // further attempts in the budget at the start; the budget is capped at this or 10, whichever is larger
+	BaseDelay   time.Duration // mean delay before the first further attempt without advice; doubles up to 256 times that; 0 means 50 ms
+	ClientName  string        // sent to drivers under ClientKey unless empty
 
-	mu     sync.Mutex
-	begun  bool
-	budget float64
-	sent   uint64
-	again  uint64
+	mu              sync.Mutex
+	started         bool
+	budget          float64
+	firstAttempts   uint64
+	furtherAttempts uint64
 }
 
-// Counts tells first and further attempts so far.
-func (r *Retries) Counts() (first, further uint64) {
+// Counts returns the numbers of first and further attempts so far.
+func (r *Retrier) Counts() (first, further uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.sent, r.again
+	return r.firstAttempts, r.furtherAttempts
 }
 
-func (r *Retries) first() {
+func (r *Retrier) countFirst() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if !r.begun {
-		r.begun, r.budget = true, r.Burst
+	if !r.started {
+		r.started, r.budget = true, r.BudgetBurst
 	}
-	r.sent++
-	r.budget = min(r.budget+r.Share, max(r.Burst, 10))
+	r.firstAttempts++
+	r.budget = min(r.budget+r.BudgetRatio, max(r.BudgetBurst, 10))
 }
 
-func (r *Retries) may() bool {
+func (r *Retrier) takeBudget() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.budget < 1 {
 		return false
 	}
 	r.budget--
-	r.again++
+	r.furtherAttempts++
 	return true
 }
 
-// Unary is the interceptor for unary calls. Streams are never tried again.
-func (r *Retries) Unary() grpc.UnaryClientInterceptor {
+// UnaryClient returns an interceptor that makes further attempts of unary calls and returns the error of the last
+// attempt. It blocks during the delays between attempts. It does not start a delay that would exceed the context's
+// deadline.
+func (r *Retrier) UnaryClient() grpc.UnaryClientInterceptor {
 	return func(ctx context.Context, method string, req, reply any, cc *grpc.ClientConn, invoke grpc.UnaryInvoker, opts ...grpc.CallOption) error {
-		r.first()
+		r.countFirst()
 		for n := 0; ; n++ {
-			var tail metadata.MD
-			err := invoke(r.numbered(ctx, n), method, req, reply, cc, append(opts, grpc.Trailer(&tail))...)
-			wait, ok := r.wait(err, tail, n)
-			if !ok || n >= r.Most || !sleeps(ctx, wait) || !r.may() {
+			var trailer metadata.MD
+			err := invoke(r.withAttempt(ctx, n), method, req, reply, cc, append(opts, grpc.Trailer(&trailer))...)
+			delay, ok := r.delay(err, trailer, n)
+			if !ok || n >= r.MaxRetries || !sleep(ctx, delay) || !r.takeBudget() {
 				return err
 			}
 		}
 	}
 }
 
-// numbered puts the number of the attempt into a call's metadata, beside those of the call that is being served.
-func (r *Retries) numbered(ctx context.Context, n int) context.Context {
+// withAttempt sets the attempt number, n plus that of the call being served, and the client name in the metadata of a
+// call.
+func (r *Retrier) withAttempt(ctx context.Context, n int) context.Context {
 	md, _ := metadata.FromOutgoingContext(ctx)
 	md = md.Copy()
 	if md == nil {
@@ -95,14 +99,15 @@
 		}
 	}
 	md.Set(AttemptKey, strconv.Itoa(n))
-	if r.Client != "" {
-		md.Set(ClientKey, r.Client)
+	if r.ClientName != "" {
+		md.Set(ClientKey, r.ClientName)
 	}
 	return metadata.NewOutgoingContext(ctx, md)
 }
 
-// wait is how long to stay away after an answer, false if there is nothing to try again.
-func (r *Retries) wait(err error, tail metadata.MD, n int) (time.Duration, bool) {
+// delay returns the delay before the attempt after attempt n. It returns false if the call must not be repeated: it was
+// served, it failed rather than being refused, or the driver forbids it.
+func (r *Retrier) delay(err error, trailer metadata.MD, n int) (time.Duration, bool) {
 	if err == nil {
 		return 0, false
 	}
@@ -115,27 +120,28 @@
 			advice = d.RetryDelay.AsDuration()
 		}
 	}
-	for _, v := range tail.Get(Pushback) {
+	for _, v := range trailer.Get(Pushback) {
 		if ms, e := strconv.Atoi(v); e != nil || ms < 0 {
-			return 0, false // never
+			return 0, false // the driver forbids further attempts
 		}
 	}
 	if advice > 0 {
 		return advice, refused
 	}
-	base := r.Wait
+	base := r.BaseDelay
 	if base <= 0 {
 		base = 50 * time.Millisecond
 	}
 	return time.Duration((0.5 + rand.Float64()) * float64(base<<min(n, 8))), refused
 }
 
-// sleeps waits, and tells whether the call still has time then.
-func sleeps(ctx context.Context, wait time.Duration) bool {
-	if at, ok := ctx.Deadline(); ok && time.Until(at) <= wait {
+// sleep waits for the delay and returns true. It returns false at once if the delay would exceed the context's deadline,
+// or as soon as the context is done.
+func sleep(ctx context.Context, delay time.Duration) bool {
+	if at, ok := ctx.Deadline(); ok && time.Until(at) <= delay {
 		return false
 	}
-	t := time.NewTimer(wait)
+	t := time.NewTimer(delay)
 	defer t.Stop()
 	select {
 	case <-t.C:
