--- a/causalcache/bench_test.go
+++ b/causalcache/bench_test.go
@@ -11,9 +11,9 @@
 	"umberladder/token"
 )
 
-// BenchmarkHitRate plays 48 sessions over 24 threads of two slices, a given share of the steps writes, in
-// virtual time, through this cache and through one that goes by age alone. It reports the hits of both and the
-// share of the plain one's hits that showed a session less than it had seen.
+// BenchmarkHitRate runs 48 sessions over 24 keys of two slices with a given share of writes, in virtual time, through
+// this cache and through a plain one that goes by age alone. It reports the hit rate of both and the share of the plain
+// cache's hits that were older than what the session had observed.
 //
 //	go test ./causalcache -run '^$' -bench HitRate -benchtime 1x
 func BenchmarkHitRate(b *testing.B) {
@@ -39,7 +39,7 @@
 	rng := rand.New(rand.NewPCG(1, 1))
 	logs := map[string]uint64{}
 	sessions := make([]token.Token, 48)
-	kept := map[Key]Entry[uint64]{}
+	plainEntries := map[Key]Entry[uint64]{}
 	var reads, hits, staleHits float64
 	for range 50000 {
 		now = now.Add(time.Millisecond)
@@ -53,19 +53,19 @@
 		key := Key{Name: fmt.Sprintf("%s/%d", slice, rng.IntN(12)), Slice: slice}
 		reads++
 		need, _ := sessions[s].At(slice)
-		if e, ok := kept[key]; ok && now.Sub(e.Fetched) < 2*time.Second {
+		if e, ok := plainEntries[key]; ok && now.Sub(e.FetchedAt) < 2*time.Second {
 			hits++
 			if e.Value < need.LSN {
 				staleHits++
 			}
 		} else {
-			kept[key] = Entry[uint64]{Value: logs[slice], Fetched: now}
+			plainEntries[key] = Entry[uint64]{Value: logs[slice], FetchedAt: now}
 		}
 		e, _, _ := c.Get(context.Background(), key, token.ParseBag(sessions[s].String()), func(context.Context, token.Bag) (Entry[uint64], error) {
-			return Entry[uint64]{Value: logs[slice], Tokens: tok(slice, logs[slice]), Holds: place(slice, logs[slice])}, nil
+			return Entry[uint64]{Value: logs[slice], Tokens: setAt(slice, logs[slice]), Holds: tokenAt(slice, logs[slice])}, nil
 		})
 		if e.Value < need.LSN {
-			panic("the causal cache showed less than was seen")
+			panic("the causal cache served an answer older than the session's token requires")
 		}
 	}
 	return float64(c.Stats().Hits) / reads, hits / reads, staleHits / max(hits, 1)
--- a/causalcache/cache.go
+++ b/causalcache/cache.go
@@ -1,9 +1,11 @@
-// Package causalcache keeps answers and hands one out again only to whoever has seen no more than it holds. It can't
-// lower what a session has seen, however stale it is, as every answer comes with the join of the entry's tokens and
-// those presented.
+// Package causalcache caches answers and serves one only to a session that has observed no more than the answer certainly
+// includes. In go a key, the tokens of a session and a function that fetches the answer; out come an answer that covers
+// these tokens, and the session's tokens after it has read the answer. Services that serve reads to many sessions call
+// it in place of a cache that goes by age alone.
 //
-// What an answer holds and what its reader has seen are two places, and never mixed up: a read is certain to hold
-// what lay before it began (Entry.Holds), and may show what came while it ran (Entry.Tokens).
+// Sessions never observe less than before, however old an entry is. An entry has two bounds, as a read certainly includes
+// what was visible before it began and may include what became visible while it ran: the first is the lower bound in
+// the entry, the second Entry.Tokens, which are added to the tokens of each session that reads the entry.
 package causalcache
 
 import (
@@ -18,33 +20,33 @@
 	"umberladder/token"
 )
 
-// Entry is one answer with what it is good for.
+// Entry is one answer with its bounds.
 type Entry[V any] struct {
 	Value     V
-	Tokens    token.Bag   // what its reader has seen, as its driver or service said
-	Holds     token.Token // what it holds for certain: the driver's holds, of several reads their Meet
-	Validator string      // names what it was made of
-	Fetched   time.Time
+	Tokens    token.Bag   // tokens of the answer: what a session that reads it may have observed
+	Holds     token.Token // what the answer certainly includes, as stated by the driver; of several reads, their Meet
+	Validator string      // identifies the content, as in an ETag; the cache does not use it
+	FetchedAt time.Time   // set by the cache when the fetch returned
 }
 
-// Fetch gets an answer that covers the tokens given.
+// Fetch returns an answer that covers the given tokens. It is called in a goroutine of its own, with a context that keeps
+// the values of the first caller's context but is not canceled with it.
 type Fetch[V any] func(ctx context.Context, tokens token.Bag) (Entry[V], error)
 
-// Stats counts what a cache did.
+// Stats counts lookups and fetches. Each lookup counts as one of the first four.
 type Stats struct {
-	Hits      uint64 // handed out as kept
-	Expired   uint64 // kept for longer than allowed
-	Behind    uint64 // kept, but the token presented had seen more
-	Absent    uint64
-	Coalesced uint64 // waited for another's fetch
+	Hits      uint64 // served from the cache
+	Expired   uint64 // the entry was older than the maximum age
+	Behind    uint64 // the entry does not certainly include what the tokens require
+	Absent    uint64 // no entry
+	Coalesced uint64 // misses that waited for the fetch of another caller
 	Fetches   uint64
 }
 
-// Cache is a bounded cache by key, the least recently used going first. The key must name all that the answer
-// depends on beside tokens: slice, class, statement, parameters, and the tenant where answers differ by it.
+// Cache is a cache of a bounded number of entries, which evicts the least recently used. It is safe for concurrent use.
 type Cache[V any] struct {
-	fresh time.Duration
-	now   func() time.Time
+	maxAge time.Duration
+	now    func() time.Time
 
 	mu      sync.Mutex
 	entries *lru.Cache[Key, Entry[V]]
@@ -52,18 +54,19 @@
 	stats   Stats
 }
 
-// flight is one fetch, waited for or about to begin.
+// flight is one fetch, pending or running, with the callers that wait for it.
 type flight[V any] struct {
-	tokens  token.Bag
-	begun   bool
-	waiting int
+	tokens  token.Bag // union of the tokens of all callers so far
+	started bool
+	waiters int // besides the caller that started the flight
 	done    chan struct{}
 	entry   Entry[V]
 	err     error
 }
 
-// New makes a cache of so many entries, each kept for fresh at the most. now may be nil for the clock's.
-func New[V any](entries int, fresh time.Duration, now func() time.Time) (*Cache[V], error) {
+// New returns a cache of the given number of entries, each served for at most maxAge after its fetch. now returns the
+// time; nil means time.Now. It returns an error if entries is not positive.
+func New[V any](entries int, maxAge time.Duration, now func() time.Time) (*Cache[V], error) {
 	l, err := lru.New[Key, Entry[V]](entries)
 	if err != nil {
 		return nil, err
@@ -71,24 +74,24 @@
 	if now == nil {
 		now = time.Now
 	}
-	return &Cache[V]{fresh: fresh, now: now, entries: l, flights: map[Key][]*flight[V]{}}, nil
+	return &Cache[V]{maxAge: maxAge, now: now, entries: l, flights: map[Key][]*flight[V]{}}, nil
 }
 
-// Stats is what the cache did so far.
+// Stats returns the counts so far.
 func (c *Cache[V]) Stats() Stats {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.stats
 }
 
-// holds tells whether an answer that holds so much may be handed to whoever has seen need: of its slice, or, if
-// slice is "", of all slices that it was made of. Where a token of need can't be read nobody knows what was seen.
-func holds(have token.Token, need token.Bag, slice string) bool {
+// includes reports whether an answer with the lower bound have includes what need requires of the slice, or, if slice is
+// "", of every slice that have lists. It returns false if need contains a lost token, whose requirements are not known.
+func includes(have token.Token, need token.Bag, slice string) bool {
 	if need.IsEmpty() {
 		return true
 	}
-	n, whole := need.Peek()
-	if !whole {
+	n, complete := need.Peek()
+	if !complete {
 		return false
 	}
 	ids := have.Slices()
@@ -96,59 +99,65 @@
 		ids = []token.SliceID{token.IDOf(slice)}
 	}
 	for _, id := range ids {
-		// An unknown place asks for the present; it does not say that an answer holds it.
-		if asked, any := n.PositionByID(id); any && (asked.LSN == position.Unknown || !have.Place(id).Covers(asked)) {
+		// An unknown LSN requires the present; have does not cover it even if equal.
+		if required, any := n.PositionByID(id); any && (required.LSN == position.Unknown || !have.Place(id).Covers(required)) {
 			return false
 		}
 	}
 	return len(ids) > 0
 }
 
-// covers tells whether what stands for have holds all that need asks for. Where a token of need can't be read
-// nobody knows what was seen, and where one of have can't, nobody knows what it holds.
+// covers reports whether have requires all that need requires. It returns false if either contains a lost token, whose
+// requirements are not known.
 func covers(have, need token.Bag) bool {
 	if need.IsEmpty() {
 		return true
 	}
-	n, whole := need.Peek()
-	h, readable := have.Peek()
-	return whole && readable && h.Covers(n)
+	n, needComplete := need.Peek()
+	h, haveComplete := have.Peek()
+	return needComplete && haveComplete && h.Covers(n)
 }
 
-// Key names an answer: all that it depends on beside tokens, and the slice that it was read from, whose part of
-// a token alone counts; "" if it was read from several.
+// Key identifies an answer. Name must contain all else that the answer depends on besides tokens: class, statement,
+// parameters, and the tenant if answers differ by tenant. Slice is the slice that the answer was read from, and only its
+// position in a token counts; "" means several slices.
 type Key struct{ Name, Slice string }
 
-// Get hands out the answer for a key to somebody who has seen the tokens given, from the cache if it may, else
-// by fetch. The bag returned is what they have seen after it: nothing that they had seen before is lost.
-// Misses at one time share a fetch if its tokens cover theirs; those that it does not cover share the next.
+// Get returns the answer for a key to a session that has observed the given tokens, from the cache if the entry includes
+// what they require, else from fetch. The tokens returned are the session's after it has read the answer: those of the
+// answer, and those of seen that they do not cover. On a miss, Get waits for the fetch in flight if its tokens cover seen, else it shares
+// the next fetch with the other callers that wait for it. Get blocks until a fetch returns or ctx is done.
+//
+// It returns the error of fetch, the error of ctx, or ErrStale if three answers in a row did not include what seen
+// requires. Errors are not cached. If seen contains a lost token, the answer of a fetch is not checked.
 func (c *Cache[V]) Get(ctx context.Context, key Key, seen token.Bag, fetch Fetch[V]) (Entry[V], token.Bag, error) {
-	for range tries {
+	for range maxFetches {
 		e, after, err := c.get(ctx, key, seen, fetch)
-		if _, whole := seen.Peek(); err != nil || !whole || holds(e.Holds, seen, key.Slice) {
+		if _, complete := seen.Peek(); err != nil || !complete || includes(e.Holds, seen, key.Slice) {
 			return e, after, err
 		}
 	}
-	return Entry[V]{}, seen, ErrBehind
+	return Entry[V]{}, seen, ErrStale
 }
 
-// tries is how often an answer is fetched that does not cover what it was asked for.
-const tries = 3
+// maxFetches is the number of answers that Get rejects as too old before it gives up.
+const maxFetches = 3
 
-// ErrBehind says that every answer fetched held less than its tokens asked for: somebody on the way drops them.
-var ErrBehind = errors.New("causalcache: the answers fetched hold less than the tokens asked for; a hop on the way drops tokens")
+// ErrStale means that every fetched answer included less than the session's tokens require. The cause is a service between
+// this cache and the driver that drops tokens.
+var ErrStale = errors.New("causalcache: fetched answers are older than the tokens require; a service between the cache and the driver drops tokens")
 
 func (c *Cache[V]) get(ctx context.Context, key Key, seen token.Bag, fetch Fetch[V]) (Entry[V], token.Bag, error) {
 	c.mu.Lock()
-	if e, ok := c.kept(key, seen); ok {
+	if e, ok := c.lookup(key, seen); ok {
 		c.stats.Hits++
 		c.mu.Unlock()
 		return e, seen.Absorb(e.Tokens), nil
 	}
-	f, mine := c.join(key, seen)
+	f, created := c.joinFlight(key, seen)
 	c.mu.Unlock()
-	if mine {
-		c.lead(ctx, key, f, fetch)
+	if created {
+		c.runFlight(ctx, key, f, fetch)
 	}
 	select {
 	case <-f.done:
@@ -161,15 +170,15 @@
 	return f.entry, seen.Absorb(f.entry.Tokens), nil
 }
 
-// kept is the entry of a key if it may be handed out.
-func (c *Cache[V]) kept(key Key, seen token.Bag) (Entry[V], bool) {
+// lookup returns the entry of a key if it may be served to a session that has observed seen.
+func (c *Cache[V]) lookup(key Key, seen token.Bag) (Entry[V], bool) {
 	e, ok := c.entries.Get(key)
 	switch {
 	case !ok:
 		c.stats.Absent++
-	case c.now().Sub(e.Fetched) > c.fresh:
+	case c.now().Sub(e.FetchedAt) > c.maxAge:
 		c.stats.Expired++
-	case !holds(e.Holds, seen, key.Slice):
+	case !includes(e.Holds, seen, key.Slice):
 		c.stats.Behind++
 	default:
 		return e, true
@@ -177,16 +186,16 @@
 	return Entry[V]{}, false
 }
 
-// join finds a fetch to wait for, or begins the next. One that is under way does for whom its tokens cover;
-// one that has not begun takes their tokens along.
-func (c *Cache[V]) join(key Key, seen token.Bag) (f *flight[V], mine bool) {
+// joinFlight returns a flight to wait for, or creates the next one. A running flight serves callers whose tokens it
+// covers; to a pending one the caller's tokens are added.
+func (c *Cache[V]) joinFlight(key Key, seen token.Bag) (f *flight[V], created bool) {
 	for _, f := range c.flights[key] {
-		if !f.begun {
+		if !f.started {
 			f.tokens = f.tokens.Join(seen)
 		} else if !covers(f.tokens, seen) {
 			continue
 		}
-		f.waiting++
+		f.waiters++
 		c.stats.Coalesced++
 		return f, false
 	}
@@ -195,24 +204,24 @@
 	return f, true
 }
 
-// lead waits for the fetch before, then carries out its own. It does not depend on the leader's own patience:
-// others wait for it too.
-func (c *Cache[V]) lead(ctx context.Context, key Key, f *flight[V], fetch Fetch[V]) {
+// runFlight runs the fetch of a flight in a goroutine once the flight before it has ended. The fetch is not canceled with
+// the context of the caller that created it, as other callers wait for it too.
+func (c *Cache[V]) runFlight(ctx context.Context, key Key, f *flight[V], fetch Fetch[V]) {
 	ctx = context.WithoutCancel(ctx)
 	go func() {
 		c.mu.Lock()
-		var before *flight[V]
+		var previous *flight[V]
 		for i, other := range c.flights[key] {
 			if other == f && i > 0 {
-				before = c.flights[key][i-1]
+				previous = c.flights[key][i-1]
 			}
 		}
 		c.mu.Unlock()
-		if before != nil {
-			<-before.done
+		if previous != nil {
+			<-previous.done
 		}
 		c.mu.Lock()
-		f.begun = true
+		f.started = true
 		tokens := f.tokens
 		c.stats.Fetches++
 		c.mu.Unlock()
@@ -221,10 +230,10 @@
 		defer c.mu.Unlock()
 		f.entry, f.err = e, err
 		if err == nil {
-			f.entry.Fetched = c.now()
-			c.keep(key, f.entry)
+			f.entry.FetchedAt = c.now()
+			c.store(key, f.entry)
 		}
-		c.flights[key] = without(c.flights[key], f)
+		c.flights[key] = removeFlight(c.flights[key], f)
 		if len(c.flights[key]) == 0 {
 			delete(c.flights, key)
 		}
@@ -232,7 +241,7 @@
 	}()
 }
 
-func without[V any](flights []*flight[V], f *flight[V]) []*flight[V] {
+func removeFlight[V any](flights []*flight[V], f *flight[V]) []*flight[V] {
 	var rest []*flight[V]
 	for _, other := range flights {
 		if other != f {
@@ -242,9 +251,10 @@
 	return rest
 }
 
-// keep puts an entry in, unless the one there holds more: answers may come out of order.
-func (c *Cache[V]) keep(key Key, e Entry[V]) {
-	if old, ok := c.entries.Peek(key); ok && c.now().Sub(old.Fetched) <= c.fresh && old.Holds.Covers(e.Holds) && !e.Holds.Covers(old.Holds) {
+// store adds an entry unless the cache has an unexpired one with a higher lower bound, as answers may arrive out of
+// order.
+func (c *Cache[V]) store(key Key, e Entry[V]) {
+	if old, ok := c.entries.Peek(key); ok && c.now().Sub(old.FetchedAt) <= c.maxAge && old.Holds.Covers(e.Holds) && !e.Holds.Covers(old.Holds) {
 		return
 	}
 	c.entries.Add(key, e)
