--- a/pgwire/backend.go
+++ b/pgwire/backend.go
@@ -2,13 +2,13 @@
 
 import "fmt"
 
-// AppendAuthOK appends the end of authentication.
+// AppendAuthOK appends an AuthenticationOk message, which ends authentication.
 func AppendAuthOK(b []byte) []byte { return appendAuth(b, AuthOK, nil) }
 
-// AppendAuthCleartext appends the request for a password as it is.
+// AppendAuthCleartext appends an AuthenticationCleartextPassword message, which requests the password in clear text.
 func AppendAuthCleartext(b []byte) []byte { return appendAuth(b, AuthCleartext, nil) }
 
-// AppendAuthSASL appends the offer of SASL mechanisms.
+// AppendAuthSASL appends an AuthenticationSASL message, which offers the given mechanisms.
 func AppendAuthSASL(b []byte, mechanisms ...string) []byte {
 	var names []byte
 	for _, m := range mechanisms {
@@ -17,10 +17,10 @@
 	return appendAuth(b, AuthSASL, append(names, 0))
 }
 
-// AppendAuthSASLContinue appends a step of a SASL exchange.
+// AppendAuthSASLContinue appends an AuthenticationSASLContinue message, the server's challenge in a SASL exchange.
 func AppendAuthSASLContinue(b, data []byte) []byte { return appendAuth(b, AuthSASLContinue, data) }
 
-// AppendAuthSASLFinal appends the last step of a SASL exchange.
+// AppendAuthSASLFinal appends an AuthenticationSASLFinal message, the server's last message of a SASL exchange.
 func AppendAuthSASLFinal(b, data []byte) []byte { return appendAuth(b, AuthSASLFinal, data) }
 
 func appendAuth(b []byte, code uint32, data []byte) []byte {
@@ -28,36 +28,37 @@
 	return end(append(u32(b, code), data...), at)
 }
 
-// AppendParameterStatus appends the value of a parameter.
+// AppendParameterStatus appends a ParameterStatus message, which reports the value of a run-time parameter.
 func AppendParameterStatus(b []byte, name, value string) []byte {
 	b, at := begin(b, MsgParameterStatus)
 	return end(str(str(b, name), value), at)
 }
 
-// AppendBackendKeyData appends what a cancel request must name.
+// AppendBackendKeyData appends a BackendKeyData message with the process id and the secret key that a cancel request for
+// this session must contain.
 func AppendBackendKeyData(b []byte, pid, key uint32) []byte {
 	b, at := begin(b, MsgBackendKeyData)
 	return end(u32(u32(b, pid), key), at)
 }
 
-// AppendReadyForQuery appends the end of a group with the session's state.
+// AppendReadyForQuery appends a ReadyForQuery message with the transaction state: TxIdle, TxOpen or TxFailed.
 func AppendReadyForQuery(b []byte, state byte) []byte {
 	b, at := begin(b, MsgReadyForQuery)
 	return end(append(b, state), at)
 }
 
-// Column is one column of a result.
+// Column describes one column of a result, with the fields of RowDescription.
 type Column struct {
 	Name   string
-	Table  uint32 // 0 if it is none of a table
-	Attr   int
-	Type   uint32 // its object identifier
-	Size   int16
-	Mod    int32
-	Format int // 0 text, 1 binary
+	Table  uint32 // object identifier of the table, 0 if the column is not from a table
+	Attr   int    // number of the column in the table, 0 likewise
+	Type   uint32 // object identifier of the data type
+	Size   int16  // bytes of the data type, negative for a variable size
+	Mod    int32  // type modifier, -1 for none
+	Format int    // 0 text, 1 binary
 }
 
-// AppendRowDescription appends the columns of the rows to come.
+// AppendRowDescription appends a RowDescription message, which describes the columns of the rows that follow.
 func AppendRowDescription(b []byte, columns []Column) []byte {
 	b, at := begin(b, MsgRowDescription)
 	b = u16(b, len(columns))
@@ -69,19 +70,19 @@
 	return end(b, at)
 }
 
-// AppendDataRow appends one row; nil is NULL.
+// AppendDataRow appends a DataRow message with the values of one row; nil is NULL.
 func AppendDataRow(b []byte, values [][]byte) []byte {
 	b, at := begin(b, MsgDataRow)
 	return end(appendValues(b, values), at)
 }
 
-// AppendCommandComplete appends the end of a statement.
+// AppendCommandComplete appends a CommandComplete message with a command tag such as "SELECT 1".
 func AppendCommandComplete(b []byte, tag string) []byte {
 	b, at := begin(b, MsgCommandComplete)
 	return end(str(b, tag), at)
 }
 
-// AppendParameterDescription appends the types of a statement's parameters.
+// AppendParameterDescription appends a ParameterDescription message with the types of a statement's parameters.
 func AppendParameterDescription(b []byte, types []uint32) []byte {
 	b, at := begin(b, MsgParameterDescription)
 	b = u16(b, len(types))
@@ -91,14 +92,14 @@
 	return end(b, at)
 }
 
-// AppendEmpty appends a message that has no body: ParseComplete, BindComplete, CloseComplete, NoData,
+// AppendEmpty appends a message without a body: ParseComplete, BindComplete, CloseComplete, NoData,
 // EmptyQueryResponse or PortalSuspended.
-func AppendEmpty(b []byte, typ byte) []byte { return empty(b, typ) }
+func AppendEmpty(b []byte, typ byte) []byte { return appendEmpty(b, typ) }
 
-// AppendErrorResponse appends an error.
+// AppendErrorResponse appends an ErrorResponse message. Empty fields are left out.
 func AppendErrorResponse(b []byte, e *Error) []byte { return appendNotice(b, MsgErrorResponse, e) }
 
-// AppendNoticeResponse appends a notice.
+// AppendNoticeResponse appends a NoticeResponse message. Empty fields are left out.
 func AppendNoticeResponse(b []byte, e *Error) []byte { return appendNotice(b, MsgNoticeResponse, e) }
 
 func appendNotice(b []byte, typ byte, e *Error) []byte {
@@ -114,9 +115,9 @@
 	return end(append(b, 0), at)
 }
 
-// Error is an ErrorResponse or NoticeResponse.
+// Error is the content of an ErrorResponse or NoticeResponse message.
 type Error struct {
-	Severity string // ERROR, FATAL, PANIC; WARNING, NOTICE ...
+	Severity string // ERROR, FATAL or PANIC; for notices WARNING, NOTICE, DEBUG, INFO or LOG
 	Code     string // SQLSTATE, five characters
 	Message  string
 	Detail   string
@@ -127,10 +128,10 @@
 	return fmt.Sprintf("%s: %s (SQLSTATE %s)", e.Severity, e.Message, e.Code)
 }
 
-// Fatal tells whether the backend ends the session with it.
+// Fatal reports whether the backend closes the session after this error.
 func (e *Error) Fatal() bool { return e.Severity == "FATAL" || e.Severity == "PANIC" }
 
-// ParseError parses the body of an ErrorResponse or NoticeResponse, by the type given.
+// ParseError parses the body of an ErrorResponse or NoticeResponse, as given by typ. Unknown fields are ignored.
 func ParseError(typ byte, body []byte) (*Error, error) {
 	c := cursor{typ: typ, b: body}
 	e := &Error{}
@@ -161,19 +162,19 @@
 		return nil, err
 	}
 	if len(e.Code) != 5 {
-		return nil, bad(typ, "SQLSTATE %q has not five characters", e.Code)
+		return nil, errorf(typ, "SQLSTATE %q does not have five characters", e.Code)
 	}
 	return e, nil
 }
 
-// Auth is an authentication request.
+// Auth is an authentication request of a backend.
 type Auth struct {
-	Code       uint32
-	Mechanisms []string // for AuthSASL
-	Data       []byte   // for AuthSASLContinue and AuthSASLFinal; for AuthMD5 the salt
+	Code       uint32   // AuthOK, AuthCleartext, AuthMD5, AuthSASL, AuthSASLContinue or AuthSASLFinal
+	Mechanisms []string // offered mechanisms, for AuthSASL
+	Data       []byte   // SASL data, for AuthSASLContinue and AuthSASLFinal; the salt of 4 bytes, for AuthMD5; shares memory with the body
 }
 
-// ParseAuth parses the body of an authentication request.
+// ParseAuth parses the body of an authentication request. A code that is not among the Auth constants is an error.
 func ParseAuth(body []byte) (Auth, error) {
 	c := cursor{typ: MsgAuthentication, b: body}
 	a := Auth{Code: c.u32("the code")}
@@ -193,37 +194,37 @@
 		a.Data = c.bytes(len(c.b), "the data")
 	default:
 		if c.err == nil {
-			c.fail("authentication method %d is not spoken here; use scram-sha-256 or password", a.Code)
+			c.fail("authentication method %d is not supported; use scram-sha-256 or password", a.Code)
 		}
 	}
 	return a, c.end()
 }
 
-// ParseParameterStatus parses a parameter's name and value.
+// ParseParameterStatus parses the body of a ParameterStatus message.
 func ParseParameterStatus(body []byte) (name, value string, err error) {
 	c := cursor{typ: MsgParameterStatus, b: body}
 	name, value = c.str("the name"), c.str("the value")
 	return name, value, c.end()
 }
 
-// ParseBackendKeyData parses what a cancel request must name.
+// ParseBackendKeyData parses the body of a BackendKeyData message and returns the ids that a cancel request must contain.
 func ParseBackendKeyData(body []byte) (Cancel, error) {
 	c := cursor{typ: MsgBackendKeyData, b: body}
 	k := Cancel{PID: c.u32("the process"), Key: c.u32("the key")}
 	return k, c.end()
 }
 
-// ParseReadyForQuery parses a session's state: TxIdle, TxOpen or TxFailed.
+// ParseReadyForQuery parses the body of a ReadyForQuery message and returns TxIdle, TxOpen or TxFailed.
 func ParseReadyForQuery(body []byte) (byte, error) {
 	c := cursor{typ: MsgReadyForQuery, b: body}
 	state := c.u8("the state")
 	if c.err == nil && state != TxIdle && state != TxOpen && state != TxFailed {
-		c.fail("state %q is unknown", state)
+		c.fail("transaction state %q is unknown", state)
 	}
 	return state, c.end()
 }
 
-// ParseRowDescription parses the columns of a result.
+// ParseRowDescription parses the body of a RowDescription message.
 func ParseRowDescription(body []byte) ([]Column, error) {
 	c := cursor{typ: MsgRowDescription, b: body}
 	columns := make([]Column, 0, 8)
@@ -235,7 +236,8 @@
 	return columns, c.end()
 }
 
-// ParseDataRow parses a row, reusing values; the values share memory with the body, nil is NULL.
+// ParseDataRow parses the body of a DataRow message into values, whose memory it reuses. The values returned share memory
+// with the body; nil is NULL.
 func ParseDataRow(body []byte, values [][]byte) ([][]byte, error) {
 	c := cursor{typ: MsgDataRow, b: body}
 	values = values[:0]
@@ -245,7 +247,7 @@
 	return values, c.end()
 }
 
-// ParseParameterDescription parses the types of a statement's parameters.
+// ParseParameterDescription parses the body of a ParameterDescription message and returns the types of the parameters.
 func ParseParameterDescription(body []byte) ([]uint32, error) {
 	c := cursor{typ: MsgParameterDescription, b: body}
 	var types []uint32
--- a/pgwire/build.go
+++ b/pgwire/codec.go
@@ -2,7 +2,8 @@
 
 import "encoding/binary"
 
-// begin appends a message's type and room for its length; end fills the length in.
+// begin appends the type of a message and four zero bytes for its length, and returns the offset of the length. end then
+// writes the length there.
 func begin(b []byte, typ byte) ([]byte, int) {
 	if typ != msgUntyped {
 		b = append(b, typ)
@@ -19,10 +20,10 @@
 func u32(b []byte, v uint32) []byte { return binary.BigEndian.AppendUint32(b, v) }
 func str(b []byte, s string) []byte { return append(append(b, s...), 0) }
 
-// empty appends a message without a body.
-func empty(b []byte, typ byte) []byte { return append(b, typ, 0, 0, 0, 4) }
+// appendEmpty appends a message without a body.
+func appendEmpty(b []byte, typ byte) []byte { return append(b, typ, 0, 0, 0, 4) }
 
-// cursor reads the parts of a body; the first that is missing is kept as the error.
+// cursor decodes the fields of a body in order. It keeps the first error, after which it returns zero values.
 type cursor struct {
 	typ byte
 	b   []byte
@@ -31,7 +32,7 @@
 
 func (c *cursor) fail(format string, args ...any) {
 	if c.err == nil {
-		c.err = bad(c.typ, format, args...)
+		c.err = errorf(c.typ, format, args...)
 	}
 	c.b = nil
 }
@@ -41,7 +42,7 @@
 		return nil
 	}
 	if n < 0 || n > len(c.b) {
-		c.fail("%s wants %d bytes, %d are left", what, n, len(c.b))
+		c.fail("%s needs %d bytes, but %d are left", what, n, len(c.b))
 		return nil
 	}
 	v := c.b[:n:n]
@@ -81,21 +82,22 @@
 			return v
 		}
 	}
-	c.fail("%s has no end", what)
+	c.fail("%s is not terminated by a zero byte", what)
 	return ""
 }
 
-// count reads a number of items of at least each bytes, so that a number alone reserves no memory.
-func (c *cursor) count(each int, what string) int {
+// count decodes a number of items, each of minSize bytes or more. It fails if they cannot fit into the rest of the body,
+// so that a caller does not allocate memory for items that were not sent.
+func (c *cursor) count(minSize int, what string) int {
 	n := c.u16(what)
-	if c.err == nil && n*each > len(c.b) {
-		c.fail("%d of %s do not fit into %d bytes", n, what, len(c.b))
+	if c.err == nil && n*minSize > len(c.b) {
+		c.fail("%d %s do not fit into the remaining %d bytes", n, what, len(c.b))
 		return 0
 	}
 	return n
 }
 
-// value reads a length and that many bytes; a length of -1 is NULL.
+// value decodes a length and that many bytes; a length of -1 is NULL, returned as nil.
 func (c *cursor) value(what string) []byte {
 	n := int32(c.u32(what))
 	if n == -1 {
@@ -110,7 +112,7 @@
 
 func (c *cursor) end() error {
 	if c.err == nil && len(c.b) > 0 {
-		c.fail("%d bytes too many", len(c.b))
+		c.fail("%d surplus bytes after the last field", len(c.b))
 	}
 	return c.err
 }
@@ -127,7 +129,7 @@
 	return b
 }
 
-// AppendMessage appends a whole message of a body that is at hand.
+// AppendMessage appends a message of the given type and body.
 func AppendMessage(b []byte, typ byte, body []byte) []byte {
 	b, at := begin(b, typ)
 	return end(append(b, body...), at)
--- a/pgwire/differential_test.go
+++ b/pgwire/differential_test.go
@@ -12,7 +12,7 @@
 	"pgregory.net/rapid"
 )
 
-// encode writes a message of pgproto3.
+// encode returns the encoding of a pgproto3 message.
 func encode(t interface{ Fatal(...any) }, m interface {
 	Encode([]byte) ([]byte, error)
 }) []byte {
@@ -39,8 +39,8 @@
 	return values
 }
 
-// TestFrontendMatchesPgproto3 writes each message of a frontend as pgproto3 does, to the byte, and reads back
-// what pgproto3 wrote.
+// TestFrontendMatchesPgproto3: each message of a frontend is encoded byte for byte as by pgproto3, and Bind and Parse
+// messages are decoded to the same values.
 func TestFrontendMatchesPgproto3(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		name, sql, values := drawText(t, "name"), drawText(t, "sql"), drawValues(t)
@@ -82,7 +82,7 @@
 		}
 		for i := range values {
 			if !bytes.Equal(bind.Values[i], values[i]) || (bind.Values[i] == nil) != (values[i] == nil) {
-				t.Fatalf("value %d: %q became %q", i, values[i], bind.Values[i])
+				t.Fatalf("value %d: %q decoded as %q", i, values[i], bind.Values[i])
 			}
 		}
 		parse, err := ParseParse(AppendParse(nil, name, sql, types)[5:])
@@ -92,7 +92,8 @@
 	})
 }
 
-// TestBackendMatchesPgproto3 does the same for what a db node sends.
+// TestBackendMatchesPgproto3: each message of a backend is encoded byte for byte as by pgproto3, and errors and row
+// descriptions are decoded to the same values.
 func TestBackendMatchesPgproto3(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		name, text, values := drawText(t, "name"), drawText(t, "text"), drawValues(t)
@@ -127,23 +128,23 @@
 		}
 		back, err := ParseError(MsgErrorResponse, AppendErrorResponse(nil, fault)[5:])
 		if err != nil || !reflect.DeepEqual(back, fault) {
-			t.Fatalf("%+v became %+v, %v", fault, back, err)
+			t.Fatalf("%+v decoded as %+v, %v", fault, back, err)
 		}
 		columns, err := ParseRowDescription(AppendRowDescription(nil, []Column{column})[5:])
 		if err != nil || len(columns) != 1 || columns[0] != column {
-			t.Fatalf("%+v became %+v, %v", column, columns, err)
+			t.Fatalf("%+v decoded as %+v, %v", column, columns, err)
 		}
 	})
 }
 
-// theirs decodes one backend message with pgproto3; ok says whether it takes it.
+// theirs decodes one backend message with pgproto3. ok is false if pgproto3 refuses it.
 func theirs(raw []byte) (m pgproto3.BackendMessage, ok bool) {
 	m, err := pgproto3.NewFrontend(bytes.NewReader(raw), io.Discard).Receive()
 	return m, err == nil
 }
 
-// FuzzBackendAgainstPgproto3 gives both parsers the same bytes. What both take must say the same; what ours
-// takes and theirs refuses must be one of the known laxities of ours (there is none).
+// FuzzBackendAgainstPgproto3 gives both parsers the same bytes. Messages that both accept must have the same content.
+// There is no known message that this package accepts and pgproto3 refuses; such a DataRow or RowDescription fails.
 func FuzzBackendAgainstPgproto3(f *testing.F) {
 	f.Add(AppendDataRow(nil, [][]byte{[]byte("a"), nil}))
 	f.Add(AppendRowDescription(nil, []Column{{Name: "x", Type: 25}}))
@@ -170,7 +171,7 @@
 					}
 				}
 			} else if err == nil {
-				t.Fatalf("taken, pgproto3 refuses %q", raw)
+				t.Fatalf("accepted, pgproto3 refuses %q", raw)
 			}
 		case MsgRowDescription:
 			columns, err := ParseRowDescription(body)
@@ -181,7 +182,7 @@
 					}
 				}
 			} else if err == nil {
-				t.Fatalf("taken, pgproto3 refuses %q", raw)
+				t.Fatalf("accepted, pgproto3 refuses %q", raw)
 			}
 		case MsgErrorResponse:
 			e, err := ParseError(typ, body)
@@ -203,7 +204,7 @@
 	})
 }
 
-// FuzzFrontendParsers must neither fail hard nor reserve memory by numbers alone.
+// FuzzFrontendParsers: no body makes a parser panic or allocate memory for items that were not sent.
 func FuzzFrontendParsers(f *testing.F) {
 	f.Add(AppendBind(nil, "", "s", [][]byte{[]byte("1"), nil})[5:])
 	f.Add(AppendParse(nil, "s", "select 1", []uint32{25})[5:])
@@ -216,12 +217,13 @@
 		ParseString(MsgQuery, body)
 		ParseSASLInitial(body)
 		if s, err := ParseStartup(body); err == nil && s.Params == nil && s.Cancel == nil && !s.TLS {
-			t.Fatal("a startup packet that is nothing")
+			t.Fatal("a startup packet without parameters, cancel request or TLS request was accepted")
 		}
 	})
 }
 
-// TestPartialReads feeds a whole exchange one byte at a time and in odd pieces; nothing may change.
+// TestPartialReads reads a stream of messages one byte at a time, in halves and truncated at each byte. The messages must
+// be the same, and a truncation must end in io.EOF or io.ErrUnexpectedEOF.
 func TestPartialReads(t *testing.T) {
 	var wire []byte
 	wire = AppendAuthOK(wire)
@@ -248,38 +250,38 @@
 	for name, src := range map[string]io.Reader{"bytes": iotest.OneByteReader(bytes.NewReader(wire)),
 		"halves": iotest.HalfReader(bytes.NewReader(wire)), "data with EOF": iotest.DataErrReader(bytes.NewReader(wire))} {
 		if got := read(src); !reflect.DeepEqual(got, want) {
-			t.Errorf("%s: other messages", name)
+			t.Errorf("%s: the messages differ from those of a single read", name)
 		}
 	}
-	for cut := 1; cut < len(wire); cut++ {
-		r := NewReader(bytes.NewReader(wire[:cut]), 0)
+	for length := 1; length < len(wire); length++ {
+		r := NewReader(bytes.NewReader(wire[:length]), 0)
 		var err error
 		for err == nil {
 			_, _, err = r.Next()
 		}
 		if err != io.EOF && !errors.Is(err, io.ErrUnexpectedEOF) {
-			t.Fatalf("cut after %d: %v", cut, err)
+			t.Fatalf("truncated after %d bytes: %v", length, err)
 		}
 	}
 }
 
-// TestLengths shows that a length alone costs no memory and that those that cannot be are refused.
+// TestLengths: invalid lengths are refused, and a length alone allocates no memory.
 func TestLengths(t *testing.T) {
 	var e *ProtocolError
 	if _, _, err := NewReader(bytes.NewReader([]byte{'D', 0x7f, 0xff, 0xff, 0xff}), 0).Next(); !errors.As(err, &e) {
 		t.Errorf("a length of 2 GB: %v", err)
 	}
 	if _, _, err := NewReader(bytes.NewReader([]byte{'D', 0, 0, 0, 3}), 0).Next(); !errors.As(err, &e) {
-		t.Errorf("a length less than itself: %v", err)
+		t.Errorf("a length below 4 bytes: %v", err)
 	}
-	promise := append([]byte{'D', 0, 0xff, 0, 0}, make([]byte, 100)...)
-	r := NewReader(bytes.NewReader(promise), 0)
+	sent := append([]byte{'D', 0, 0xff, 0, 0}, make([]byte, 100)...)
+	r := NewReader(bytes.NewReader(sent), 0)
 	if _, _, err := r.Next(); !errors.Is(err, io.ErrUnexpectedEOF) || len(r.buf) > 1<<14 {
-		t.Errorf("a promise of 16 MB: %v, %d bytes reserved", err, len(r.buf))
+		t.Errorf("a length of 16 MB with 100 bytes sent: %v, %d bytes allocated", err, len(r.buf))
 	}
 }
 
-func TestScram(t *testing.T) {
+func TestSCRAM(t *testing.T) {
 	for _, c := range []struct {
 		password, stored string
 		ok               bool
@@ -306,7 +308,7 @@
 			t.Fatal(err)
 		}
 		if _, _, err := a.Answer(nil, Auth{Code: AuthOK}); err == nil {
-			t.Error("an end without the db node's proof was taken")
+			t.Error("AuthOK without the database node's proof was accepted")
 		}
 		proof, _, err := v.Step(out[5:])
 		if (err == nil) != c.ok {
@@ -315,7 +317,7 @@
 		if c.ok {
 			a.Answer(nil, Auth{Code: AuthSASLFinal, Data: proof})
 			if _, done, err := a.Answer(nil, Auth{Code: AuthOK}); !done || err != nil {
-				t.Errorf("the end: %v, %v", done, err)
+				t.Errorf("AuthOK after the proof: %v, %v", done, err)
 			}
 		}
 	}
--- a/pgwire/doc.go
+++ b/pgwire/doc.go
@@ -1,10 +1,11 @@
-// Package pgwire reads and writes PostgreSQL's frontend/backend protocol, version 3.0, as published in the
-// chapter "Frontend/Backend Protocol" of PostgreSQL's documentation. It holds both sides: what a driver sends
-// and hears, and what a stand-in db node does.
+// Package pgwire encodes and decodes the messages of PostgreSQL's frontend/backend protocol, version 3.0, as described
+// in the chapter "Frontend/Backend Protocol" of PostgreSQL's documentation. Append functions take the fields of one
+// message and return a byte slice with the whole message appended; a Reader takes a byte stream and returns one message
+// of bounded size at a time, whose body the Parse functions decode. Drivers call the frontend side for database nodes
+// and the backend side for clients; simulated database nodes call the backend side.
 //
-// Writing is by Append functions that add one whole message to a byte slice. Reading is by a Reader that
-// yields one message at a time with a bounded size, and by Parse functions for the bodies. A body that does
-// not hold what its type promises is a *ProtocolError; none of its parts is guessed.
+// A Parse function returns a *ProtocolError if the body does not match the format of its type: if it is truncated, has
+// surplus bytes or an invalid value. The other results are then without meaning.
 package pgwire
 
 import "fmt"
@@ -17,7 +18,7 @@
 	gssCode         = 80877104
 )
 
-// Types of the messages that a frontend sends.
+// Types of messages that a frontend sends.
 const (
 	MsgBind              = 'B'
 	MsgClose             = 'C'
@@ -36,7 +37,7 @@
 	msgUntyped      byte = 0 // startup, cancel and TLS requests
 )
 
-// Types of the messages that a backend sends.
+// Types of messages that a backend sends.
 const (
 	MsgAuthentication       = 'R'
 	MsgBackendKeyData       = 'K'
@@ -61,7 +62,7 @@
 	MsgRowDescription       = 'T'
 )
 
-// Authentication requests.
+// Codes of authentication requests.
 const (
 	AuthOK           = 0
 	AuthCleartext    = 3
@@ -71,14 +72,14 @@
 	AuthSASLFinal    = 12
 )
 
-// States that ReadyForQuery tells.
+// Transaction states in ReadyForQuery: idle, in a transaction block, in a failed transaction block.
 const (
 	TxIdle   = 'I'
 	TxOpen   = 'T'
 	TxFailed = 'E'
 )
 
-// Object identifiers of the types that values are decoded for; pg_type lists them all.
+// Object identifiers of data types, as in the catalog pg_type.
 const (
 	OIDBool   = 16
 	OIDBytea  = 17
@@ -91,19 +92,19 @@
 	OIDPgLSN  = 3220
 )
 
-// ProtocolError says that a peer broke the protocol. The connection is of no further use.
+// ProtocolError reports that the peer violated the protocol. The connection cannot be used any further.
 type ProtocolError struct {
-	Type byte   // the message's type, 0 for an untyped one
-	Why  string // what was wrong with it
+	Type   byte   // type of the message, 0 for an untyped one
+	Reason string // description of the violation
 }
 
 func (e *ProtocolError) Error() string {
 	if e.Type == msgUntyped {
-		return "pgwire: startup packet: " + e.Why
+		return "pgwire: startup packet: " + e.Reason
 	}
-	return fmt.Sprintf("pgwire: message %q: %s", e.Type, e.Why)
+	return fmt.Sprintf("pgwire: message %q: %s", e.Type, e.Reason)
 }
 
-func bad(typ byte, format string, args ...any) error {
-	return &ProtocolError{Type: typ, Why: fmt.Sprintf(format, args...)}
+func errorf(typ byte, format string, args ...any) error {
+	return &ProtocolError{Type: typ, Reason: fmt.Sprintf(format, args...)}
 }
--- a/pgwire/reader.go
+++ b/pgwire/reader.go
@@ -7,20 +7,20 @@
 	"sync"
 )
 
-// DefaultMaxMessage is the longest message that a Reader takes unless told otherwise, in bytes.
+// DefaultMaxMessage is the default limit of the body of a message, in bytes.
 const DefaultMaxMessage = 16 << 20
 
-// maxStartup is the longest startup packet, as in PostgreSQL itself.
+// maxStartup is the limit of a startup packet, in bytes; the same as PostgreSQL's.
 const maxStartup = 10000
 
-// bufferSize is what a Reader begins with, in bytes.
+// bufferSize is the initial size of a Reader's buffer, in bytes.
 const bufferSize = 4096
 
-// Buffers are what idle Readers share: one that waits for its peer's next message holds none. The zero value is ready
-// for use, by many goroutines.
+// Buffers is a pool of read buffers of 4096 bytes. Readers share it so that a Reader that waits for its peer's next
+// message holds no buffer. The zero value is ready to use. It is safe for concurrent use.
 type Buffers struct{ pool sync.Pool }
 
-// Get is a buffer that may hold anything.
+// Get returns a buffer of 4096 bytes with arbitrary content. It does not block.
 func (b *Buffers) Get() []byte {
 	if p, ok := b.pool.Get().(*[bufferSize]byte); ok {
 		return p[:]
@@ -28,37 +28,37 @@
 	return make([]byte, bufferSize)
 }
 
-// Put gives back what Get gave. Buffers of another size are left to the garbage collector.
+// Put returns a buffer to the pool. A buffer of another capacity is left to the garbage collector.
 func (b *Buffers) Put(buf []byte) {
 	if cap(buf) == bufferSize {
 		b.pool.Put((*[bufferSize]byte)(buf[:bufferSize]))
 	}
 }
 
-// PatientReader is a source that takes a buffer only once there is something to read. What it returns with n bytes in
-// it is the caller's; without any it keeps none.
-type PatientReader interface {
+// PooledReader is a source that takes a buffer from a pool only once it has data to read. ReadPatiently blocks until then
+// and returns the buffer, with n bytes of data, to the caller, which owns it. If n is 0, it returns no buffer.
+type PooledReader interface {
 	io.Reader
 	ReadPatiently(*Buffers) (buf []byte, n int, err error)
 }
 
-// Reader yields the messages of one direction of a connection. It is not safe for concurrent use.
+// Reader reads the messages of one direction of a connection. It is not safe for concurrent use.
 type Reader struct {
-	src     io.Reader
-	patient PatientReader // src, if it is one
-	shared  *Buffers
-	buf     []byte // nil while a patient source waits
-	r, w    int    // unread bytes are buf[r:w]
-	max     int
-	long    func(n int) error
+	src        io.Reader
+	pooled     PooledReader      // src, if it is one
+	buffers    *Buffers          // for pooled
+	buf        []byte            // nil while pooled waits for data
+	r, w       int               // unread bytes are buf[r:w]
+	max        int               // largest body, in bytes
+	beforeLong func(n int) error // nil for none
 }
 
-// BeforeLong has f called before a body longer than a first buffer is read, with its length in bytes. An error of it
-// ends the reading.
-func (r *Reader) BeforeLong(f func(n int) error) { r.long = f }
+// BeforeLong sets a function that Next calls with the length of a body, in bytes, before it reads a body of 4093 bytes or
+// more. If f returns an error, Next returns it without reading the body.
+func (r *Reader) BeforeLong(f func(n int) error) { r.beforeLong = f }
 
-// NewReader reads from src and refuses messages whose body is longer than maxMessage bytes
-// (DefaultMaxMessage if it is not positive).
+// NewReader returns a Reader of src that refuses messages whose body is longer than maxMessage bytes, or longer than
+// DefaultMaxMessage if maxMessage is not positive.
 func NewReader(src io.Reader, maxMessage int) *Reader {
 	if maxMessage <= 0 {
 		maxMessage = DefaultMaxMessage
@@ -66,18 +66,21 @@
 	return &Reader{src: src, buf: make([]byte, bufferSize), max: maxMessage}
 }
 
-// NewPatientReader is NewReader for a source of many: while it waits for a message, its buffer is others'.
-func NewPatientReader(src PatientReader, shared *Buffers, maxMessage int) *Reader {
+// NewPatientReader returns a Reader like NewReader that holds a buffer only from the arrival of data until all of it has
+// been read, so that many idle connections need little memory.
+func NewPatientReader(src PooledReader, buffers *Buffers, maxMessage int) *Reader {
 	r := NewReader(nil, maxMessage)
-	r.src, r.patient, r.shared, r.buf = src, src, shared, nil
+	r.src, r.pooled, r.buffers, r.buf = src, src, buffers, nil
 	return r
 }
 
-// Buffered is how many bytes have been read from the source and not yet handed out.
+// Buffered returns the number of bytes that have been read from the source but not yet returned.
 func (r *Reader) Buffered() int { return r.w - r.r }
 
-// Next reads one typed message. The body is valid until the next call. io.EOF means that the peer closed
-// between messages, io.ErrUnexpectedEOF within one; a *ProtocolError names a length that cannot be.
+// Next returns the type and body of the next message. It blocks until the whole message has arrived. The body is valid
+// until the next call of a method that reads. Next returns io.EOF if the peer closed the connection between messages,
+// io.ErrUnexpectedEOF if within one, a *ProtocolError if the length is below 4 bytes or over the limit, and otherwise
+// the error of the source or of the function set for long bodies.
 func (r *Reader) Next() (typ byte, body []byte, err error) {
 	head, err := r.take(5)
 	if err != nil {
@@ -86,13 +89,13 @@
 	typ = head[0]
 	n := binary.BigEndian.Uint32(head[1:])
 	if n < 4 {
-		return 0, nil, bad(typ, "length %d is less than its own 4 bytes", n)
+		return 0, nil, errorf(typ, "length %d is less than the 4 bytes of the length itself", n)
 	}
 	if uint64(n)-4 > uint64(r.max) {
-		return 0, nil, bad(typ, "length %d is over the limit of %d bytes", n, r.max)
+		return 0, nil, errorf(typ, "length %d is over the limit of %d bytes", n, r.max)
 	}
-	if n > bufferSize && r.long != nil {
-		if err := r.long(int(n) - 4); err != nil {
+	if n > bufferSize && r.beforeLong != nil {
+		if err := r.beforeLong(int(n) - 4); err != nil {
 			return 0, nil, err
 		}
 	}
@@ -103,7 +106,8 @@
 	return typ, body, err
 }
 
-// NextStartup reads one untyped packet, as a frontend sends before anything else.
+// NextStartup returns the body of the next untyped packet, which a frontend sends first. It blocks and returns errors as
+// Next does; the packet, its length included, must have 8 to 10000 bytes.
 func (r *Reader) NextStartup() ([]byte, error) {
 	head, err := r.take(4)
 	if err != nil {
@@ -111,7 +115,7 @@
 	}
 	n := binary.BigEndian.Uint32(head)
 	if n < 8 || n > maxStartup {
-		return nil, bad(msgUntyped, "length %d is not within 8 and %d", n, maxStartup)
+		return nil, errorf(msgUntyped, "length %d is not between 8 and %d bytes", n, maxStartup)
 	}
 	body, err := r.take(int(n) - 4)
 	if errors.Is(err, io.EOF) {
@@ -120,7 +124,7 @@
 	return body, err
 }
 
-// NextByte reads the single byte that answers a TLS request.
+// NextByte returns the next byte, such as the answer to a TLS request. It blocks until the byte has arrived.
 func (r *Reader) NextByte() (byte, error) {
 	b, err := r.take(1)
 	if err != nil {
@@ -129,7 +133,8 @@
 	return b[0], nil
 }
 
-// Wait returns once there is something to read, or why there will not be.
+// Wait blocks until at least one byte is buffered. It returns the error of the source if none arrives, io.EOF if the peer
+// closed the connection.
 func (r *Reader) Wait() error {
 	for r.w == r.r {
 		if err := r.fill(1); err != nil {
@@ -139,13 +144,13 @@
 	return nil
 }
 
-// Whole tells whether the next message is at hand without reading.
+// Whole reports whether the next message is buffered as a whole, so that Next does not block.
 func (r *Reader) Whole() bool {
 	return r.w-r.r >= 5 && uint64(r.w-r.r) >= 1+uint64(binary.BigEndian.Uint32(r.buf[r.r+1:]))
 }
 
-// take returns the next n bytes. It grows its buffer only as far as bytes really come in, so that a length
-// alone costs a peer's victim nothing.
+// take returns the next n bytes. It grows the buffer only as bytes arrive, so that a peer cannot cause an allocation by
+// sending a length alone.
 func (r *Reader) take(n int) ([]byte, error) {
 	for r.w-r.r < n {
 		if err := r.fill(n); err != nil {
@@ -161,13 +166,13 @@
 }
 
 func (r *Reader) fill(n int) error {
-	if r.patient != nil && r.r == r.w {
-		return r.wait()
+	if r.pooled != nil && r.r == r.w {
+		return r.fillPooled()
 	}
 	if r.r > 0 && r.r == r.w {
 		r.r, r.w = 0, 0
 		if len(r.buf) > 1<<16 && n < 1<<12 {
-			r.buf = make([]byte, bufferSize) // one long message must not keep its memory for good
+			r.buf = make([]byte, bufferSize) // do not keep the memory of one long message
 		}
 	}
 	if len(r.buf)-r.r < n && r.r > 0 {
@@ -190,13 +195,13 @@
 	return err
 }
 
-// wait gives the buffer back, of which nothing is unread, and takes one again when something has come.
-func (r *Reader) wait() (err error) {
+// fillPooled returns the buffer, which has no unread bytes, to the pool and takes another one once data has arrived.
+func (r *Reader) fillPooled() (err error) {
 	if r.buf != nil {
-		r.shared.Put(r.buf)
+		r.buffers.Put(r.buf)
 	}
 	r.r = 0
-	if r.buf, r.w, err = r.patient.ReadPatiently(r.shared); r.w > 0 {
+	if r.buf, r.w, err = r.pooled.ReadPatiently(r.buffers); r.w > 0 {
 		return nil
 	}
 	if r.buf = nil; err == nil {
