--- a/pgwire/frontend.go
+++ b/pgwire/frontend.go
@@ -107,7 +107,7 @@
 	return end(str(b, reason), at)
 }
 
-// Startup is the first, untyped packet of a connection. Exactly one of its fields is set.
+// Startup is an untyped packet, as a frontend sends before all other messages. Exactly one of its fields is set.
 type Startup struct {
 	Params map[string]string // parameters of a new session with protocol 3
 	Cancel *Cancel           // request to cancel a statement
--- a/pgwire/reader.go
+++ b/pgwire/reader.go
@@ -35,8 +35,8 @@
 	}
 }
 
-// PooledReader is a source that takes a buffer from a pool only once it has data to read. ReadPatiently blocks until then
-// and returns the buffer, with n bytes of data, to the caller, which owns it. If n is 0, it returns no buffer.
+// PooledReader is a source that takes a buffer from a pool only once it has data to read. Its method blocks until then
+// and returns the buffer, with n bytes of data, to the caller, which owns it. If n is 0, the caller gets no buffer.
 type PooledReader interface {
 	io.Reader
 	ReadPatiently(*Buffers) (buf []byte, n int, err error)
@@ -66,8 +66,8 @@
 	return &Reader{src: src, buf: make([]byte, bufferSize), max: maxMessage}
 }
 
-// NewPatientReader returns a Reader like NewReader that holds a buffer only from the arrival of data until all of it has
-// been read, so that many idle connections need little memory.
+// NewPatientReader returns a Reader with the limit of NewReader, which holds a buffer only from the arrival of data until
+// all of it has been read, so that idle connections need little memory.
 func NewPatientReader(src PooledReader, buffers *Buffers, maxMessage int) *Reader {
 	r := NewReader(nil, maxMessage)
 	r.src, r.pooled, r.buffers, r.buf = src, src, buffers, nil
