--- a/carry/carry_test.go
+++ b/carry/carry_test.go
@@ -32,9 +32,9 @@
 // TestHTTPChain: browser, front end and back end. The back end receives the tokens of the browser and those that the
 // front end collected before the call; the browser receives the union with the back end's token.
 func TestHTTPChain(t *testing.T) {
-	var seen token.Bag
+	var received token.Bag
 	back := httptest.NewServer(Handler(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		seen = FromContext(r.Context()).Bag()
+		received = FromContext(r.Context()).Bag()
 		FromContext(r.Context()).Add(tok("comments", 7))
 		io.WriteString(w, "ok")
 	}), false))
@@ -65,8 +65,8 @@
 		}
 		res.Body.Close()
 		want := token.ParseBag(tok("news", 3), tok("pages", 2))
-		if seen.String() != want.String() {
-			t.Errorf("%s: the back end received %v, want %v", name, seen, want)
+		if received.String() != want.String() {
+			t.Errorf("%s: the back end received %v, want %v", name, received, want)
 		}
 		want = want.Add(tok("comments", 7))
 		if got := res.Header.Get(Header); got != want.String() {
--- a/causalcache/cache.go
+++ b/causalcache/cache.go
@@ -123,21 +123,22 @@
 // position in a token counts; "" means several slices.
 type Key struct{ Name, Slice string }
 
-// Get returns the answer for a key to a session that has observed the given tokens, from the cache if the entry includes
-// what they require, else from fetch. The tokens returned are the session's after it has read the answer: those of the
-// answer, and those of seen that they do not cover. On a miss, Get waits for the fetch in flight if its tokens cover seen, else it shares
-// the next fetch with the other callers that wait for it. Get blocks until a fetch returns or ctx is done.
+// Get returns the answer for a key to a session with the given observed tokens: from the cache if the entry includes what
+// they require, else from fetch. The tokens returned are the session's after it has read the answer: those of the answer,
+// and those observed that they do not cover. On a miss, Get waits for the fetch in flight if its tokens cover the
+// observed ones, else it shares the next fetch with the other callers that wait for it. Get blocks until a fetch returns
+// or ctx is done.
 //
-// It returns the error of fetch, the error of ctx, or ErrStale if three answers in a row did not include what seen
-// requires. Errors are not cached. If seen contains a lost token, the answer of a fetch is not checked.
-func (c *Cache[V]) Get(ctx context.Context, key Key, seen token.Bag, fetch Fetch[V]) (Entry[V], token.Bag, error) {
+// It returns the error of fetch, the error of ctx, or ErrStale if three answers in a row did not include what the observed
+// tokens require. Errors are not cached. If a token among the observed ones was lost, the answer of a fetch is not checked.
+func (c *Cache[V]) Get(ctx context.Context, key Key, observed token.Bag, fetch Fetch[V]) (Entry[V], token.Bag, error) {
 	for range maxFetches {
-		e, after, err := c.get(ctx, key, seen, fetch)
-		if _, complete := seen.Peek(); err != nil || !complete || includes(e.Holds, seen, key.Slice) {
+		e, after, err := c.get(ctx, key, observed, fetch)
+		if _, complete := observed.Peek(); err != nil || !complete || includes(e.Holds, observed, key.Slice) {
 			return e, after, err
 		}
 	}
-	return Entry[V]{}, seen, ErrStale
+	return Entry[V]{}, observed, ErrStale
 }
 
 // maxFetches is the number of answers that Get rejects as too old before it gives up.
@@ -147,14 +148,14 @@
 // this cache and the driver that drops tokens.
 var ErrStale = errors.New("causalcache: fetched answers are older than the tokens require; a service between the cache and the driver drops tokens")
 
-func (c *Cache[V]) get(ctx context.Context, key Key, seen token.Bag, fetch Fetch[V]) (Entry[V], token.Bag, error) {
+func (c *Cache[V]) get(ctx context.Context, key Key, observed token.Bag, fetch Fetch[V]) (Entry[V], token.Bag, error) {
 	c.mu.Lock()
-	if e, ok := c.lookup(key, seen); ok {
+	if e, ok := c.lookup(key, observed); ok {
 		c.stats.Hits++
 		c.mu.Unlock()
-		return e, seen.Absorb(e.Tokens), nil
+		return e, observed.Absorb(e.Tokens), nil
 	}
-	f, created := c.joinFlight(key, seen)
+	f, created := c.joinFlight(key, observed)
 	c.mu.Unlock()
 	if created {
 		c.runFlight(ctx, key, f, fetch)
@@ -162,23 +163,23 @@
 	select {
 	case <-f.done:
 	case <-ctx.Done():
-		return Entry[V]{}, seen, ctx.Err()
+		return Entry[V]{}, observed, ctx.Err()
 	}
 	if f.err != nil {
-		return Entry[V]{}, seen, f.err
+		return Entry[V]{}, observed, f.err
 	}
-	return f.entry, seen.Absorb(f.entry.Tokens), nil
+	return f.entry, observed.Absorb(f.entry.Tokens), nil
 }
 
-// lookup returns the entry of a key if it may be served to a session that has observed seen.
-func (c *Cache[V]) lookup(key Key, seen token.Bag) (Entry[V], bool) {
+// lookup returns the entry of a key if it may be served to a session with the observed tokens.
+func (c *Cache[V]) lookup(key Key, observed token.Bag) (Entry[V], bool) {
 	e, ok := c.entries.Get(key)
 	switch {
 	case !ok:
 		c.stats.Absent++
 	case c.now().Sub(e.FetchedAt) > c.maxAge:
 		c.stats.Expired++
-	case !includes(e.Holds, seen, key.Slice):
+	case !includes(e.Holds, observed, key.Slice):
 		c.stats.Behind++
 	default:
 		return e, true
@@ -188,18 +189,18 @@
 
 // joinFlight returns a flight to wait for, or creates the next one. A running flight serves callers whose tokens it
 // covers; to a pending one the caller's tokens are added.
-func (c *Cache[V]) joinFlight(key Key, seen token.Bag) (f *flight[V], created bool) {
+func (c *Cache[V]) joinFlight(key Key, observed token.Bag) (f *flight[V], created bool) {
 	for _, f := range c.flights[key] {
 		if !f.started {
-			f.tokens = f.tokens.Join(seen)
-		} else if !covers(f.tokens, seen) {
+			f.tokens = f.tokens.Join(observed)
+		} else if !covers(f.tokens, observed) {
 			continue
 		}
 		f.waiters++
 		c.stats.Coalesced++
 		return f, false
 	}
-	f = &flight[V]{tokens: seen, done: make(chan struct{})}
+	f = &flight[V]{tokens: observed, done: make(chan struct{})}
 	c.flights[key] = append(c.flights[key], f)
 	return f, true
 }
--- a/causalcache/cache_test.go
+++ b/causalcache/cache_test.go
@@ -27,20 +27,20 @@
 	block chan struct{}
 }
 
-func (o *origin) fetch(_ context.Context, seen token.Bag) (Entry[uint64], error) {
+func (o *origin) fetch(_ context.Context, observed token.Bag) (Entry[uint64], error) {
 	o.calls.Add(1)
 	if o.block != nil {
 		<-o.block
 	}
-	need, _ := seen.Peek()
+	need, _ := observed.Peek()
 	at, _ := need.At("news")
 	lsn := max(o.at.Load(), at.LSN)
 	return Entry[uint64]{Value: lsn, Tokens: setAt("news", lsn), Holds: tokenAt("news", lsn)}, nil
 }
 
-func get(t *testing.T, c *Cache[uint64], o *origin, seen token.Bag) (uint64, token.Bag) {
+func get(t *testing.T, c *Cache[uint64], o *origin, observed token.Bag) (uint64, token.Bag) {
 	t.Helper()
-	e, after, err := c.Get(t.Context(), Key{Name: "page", Slice: "news"}, seen, o.fetch)
+	e, after, err := c.Get(t.Context(), Key{Name: "page", Slice: "news"}, observed, o.fetch)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -89,21 +89,21 @@
 	c, _ := New[uint64](10, time.Hour, nil)
 	o := &origin{block: make(chan struct{})}
 	var callers sync.WaitGroup
-	ask := func(seen token.Bag, least uint64) {
+	read := func(observed token.Bag, least uint64) {
 		callers.Go(func() {
-			if e, _, err := c.Get(t.Context(), Key{Name: "page", Slice: "news"}, seen, o.fetch); err != nil || e.Value < least {
+			if e, _, err := c.Get(t.Context(), Key{Name: "page", Slice: "news"}, observed, o.fetch); err != nil || e.Value < least {
 				t.Errorf("%d, %v; want at least %d", e.Value, err, least)
 			}
 		})
 	}
-	ask(setAt("news", 3), 3)
+	read(setAt("news", 3), 3)
 	for o.calls.Load() == 0 {
 		time.Sleep(time.Millisecond)
 	}
 	for range 20 {
-		ask(setAt("news", 2), 2)
-		ask(setAt("news", 7), 7)
-		ask(setAt("news", 8), 8)
+		read(setAt("news", 2), 2)
+		read(setAt("news", 7), 7)
+		read(setAt("news", 8), 8)
 	}
 	for c.Stats().Coalesced < 59 {
 		time.Sleep(time.Millisecond)
@@ -130,11 +130,11 @@
 		c, _ := New[uint64](10, time.Hour, nil)
 		o := &origin{}
 		calls := 0
-		e, _, err := c.Get(t.Context(), Key{Name: "page"}, setAt("news", 9), func(ctx context.Context, seen token.Bag) (Entry[uint64], error) {
+		e, _, err := c.Get(t.Context(), Key{Name: "page"}, setAt("news", 9), func(ctx context.Context, observed token.Bag) (Entry[uint64], error) {
 			if calls++; calls <= drops {
-				seen = token.Bag{}
+				observed = token.Bag{}
 			}
-			return o.fetch(ctx, seen)
+			return o.fetch(ctx, observed)
 		})
 		if drops == 1 && (err != nil || e.Value != 9) || drops > 1 && err != ErrStale {
 			t.Errorf("%d drops: %+v, %v", drops, e, err)
--- a/token/set.go
+++ b/token/set.go
@@ -90,10 +90,10 @@
 	return b
 }
 
-// Replace returns the set after a driver answered a request that carried the texts of handed: these are replaced by the
+// Replace returns the set after a driver answered a request that carried the texts of sent. These are replaced by the
 // answer's token, which covers them. Texts added since are kept. An empty answer removes the texts only.
-func (b Bag) Replace(handed Bag, answer string) Bag {
-	rest := Bag{slices.DeleteFunc(slices.Clone(b.texts), func(t string) bool { return slices.Contains(handed.texts, t) })}
+func (b Bag) Replace(sent Bag, answer string) Bag {
+	rest := Bag{slices.DeleteFunc(slices.Clone(b.texts), func(t string) bool { return slices.Contains(sent.texts, t) })}
 	return rest.Add(answer)
 }
 
--- a/token/token_test.go
+++ b/token/token_test.go
@@ -264,9 +264,9 @@
 	if _, complete := b.Peek(); complete || len(b.Texts()) > MaxBag {
 		t.Errorf("%d texts, complete %v", len(b.Texts()), complete)
 	}
-	handed := ParseBag(one(1), one(2))
-	later := handed.Add(one(9))
-	if got := later.Replace(handed, one(5)); got.String() != ParseBag(one(5), one(9)).String() {
+	sent := ParseBag(one(1), one(2))
+	later := sent.Add(one(9))
+	if got := later.Replace(sent, one(5)); got.String() != ParseBag(one(5), one(9)).String() {
 		t.Errorf("after Replace: %v", got)
 	}
 	rapid.Check(t, func(t *rapid.T) {
