--- a/lab/audit.go
+++ b/lab/audit.go
@@ -12,7 +12,8 @@
 	"umberladder/token"
 )
 
-// History is what clients saw of a fleet's data, with the order in which it entered the slices' logs.
+// History returns the operations that clients made and the values in the order in which they entered each slice's
+// log.
 func (f *Fleet) History(calls []Call) *history.History {
 	h := &history.History{}
 	for _, g := range f.Groups {
@@ -45,8 +46,9 @@
 	return h
 }
 
-// sourceOf tells who served a call: node, role and place as the driver told them, the place in the token that came
-// with the answer, and for each statement that ran which transactions its node showed then.
+// sourceOf describes who served a call: the node, its role and log position as the driver reported them, the
+// position in the token that came with the answer and, for each read that ran, the node's position and lowest
+// unfinished transaction.
 func sourceOf(c *Call, statements []standin.Statement) string {
 	if c.Served == nil {
 		return ""
@@ -69,7 +71,8 @@
 	return text
 }
 
-// operation is a call as an operation on a key, false if it was none.
+// operation converts a call to an operation on a key. It returns false for streams and for reads that were not
+// served.
 func (f *Fleet) operation(c *Call, begin time.Time) (history.Op, bool) {
 	op := history.Op{ID: c.Tag, Session: c.Session, Slice: c.Slice, Key: c.Key, Begin: c.Sent.Sub(begin), End: c.Answered.Sub(begin),
 		Carries: c.Carries}
@@ -103,8 +106,8 @@
 	return 0
 }
 
-// seen judges the values that clients saw: the session guarantees, causal order, ages and linearizability.
-func (f *Fleet) seen(calls []Call) *Rule {
+// judgeValues judges the values that clients saw: session guarantees, causal order, ages and linearizability.
+func (f *Fleet) judgeValues(calls []Call) *Rule {
 	all := &Rule{Name: "what clients saw"}
 	for _, r := range history.Check(f.History(calls)) {
 		one := ruleOf(r)
--- a/lab/bench_test.go
+++ b/lab/bench_test.go
@@ -13,8 +13,8 @@
 	"umberladder/standin"
 )
 
-// BenchmarkOwnReads reports, live on stand-ins, what share of own-reads went to the primary as replicas take
-// longer to replay a record, with sessions that read soon after they write.
+// BenchmarkOwnReads reports the share of own-reads that went to the primary, by the time that replicas need to
+// replay a record and by the time between a session's write and its read. It runs on stand-ins.
 //
 //	go test ./lab -run '^$' -bench OwnReads -benchtime 1x
 func BenchmarkOwnReads(b *testing.B) {
@@ -40,13 +40,13 @@
 		b.Fatal(err)
 	}
 	defer f.Close()
-	book := &Book{}
-	ctx, end := context.WithTimeout(b.Context(), 3*time.Second)
-	defer end()
+	callLog := &CallLog{}
+	ctx, cancel := context.WithTimeout(b.Context(), 3*time.Second)
+	defer cancel()
 	var all sync.WaitGroup
 	site := f.Spec.Site
 	for i := range 12 {
-		s := newSession(f, book, i, 0)
+		s := newSession(f, callLog, i, 0)
 		all.Go(func() {
 			for ctx.Err() == nil {
 				s.call(ctx, f.Drivers[0], "slice0", &site.Classes[2], 0)
@@ -57,7 +57,7 @@
 		})
 	}
 	all.Wait()
-	for _, c := range book.Calls() {
+	for _, c := range callLog.Calls() {
 		if c.Class.Name != "own-read" {
 			continue
 		}
@@ -72,9 +72,9 @@
 	return primary, served, asked
 }
 
-// BenchmarkNewcomers lists 60 cold nodes at once before 50 drivers that follow a file, on sockets, and counts the
-// connections that came to one node within half a second at the most: with newcomers taken in steps, and all at once. It
-// reports the time from the change on disk to the first and the last first connection too.
+// BenchmarkNewcomers adds 60 cold nodes at once to the inventory file of 50 drivers. It reports the most
+// connections that one node received within half a second, with new nodes admitted in steps and all at once, and
+// the times from the file's change to the first connections of the first and the last node.
 //
 //	go test ./lab -run '^$' -bench Newcomers -benchtime 1x -timeout 5m
 func BenchmarkNewcomers(b *testing.B) {
@@ -89,7 +89,7 @@
 				time.Sleep(3 * time.Second)
 				f.mu.Lock()
 				for i := range newcomers {
-					n, err := f.Groups[i%2].AddColdNode(fmt.Sprintf("new%02d", i), f.Spec.Halls[i%2], SmallNode, 0)
+					n, err := f.Groups[i%2].AddColdNode(fmt.Sprintf("new%02d", i), f.Spec.Zones[i%2], SmallNode, 0)
 					if err != nil {
 						b.Fatal(err)
 					}
@@ -98,7 +98,7 @@
 				f.mu.Unlock()
 				before := len(f.Trace.Opens())
 				begin := time.Now()
-				f.List(func(*settings.Node) {})
+				f.UpdateNodes(func(*settings.Node) {})
 				for len(f.Trace.Opens()) < before+drivers*newcomers && time.Since(begin) < time.Minute {
 					time.Sleep(20 * time.Millisecond)
 				}
--- a/lab/chain.go
+++ b/lab/chain.go
@@ -26,64 +26,64 @@
 	"umberladder/token"
 )
 
-// page is an answer as it travels between services: the token is part of it, so that a cache that mixes up
-// pages and headers is found out.
+// page is an answer as services pass it on. The token is part of it, so that a cache that returns a page with the
+// headers of another is detected.
 type page struct {
 	Value    string `json:"value"`
 	LSN      int64  `json:"lsn"` // of the newest comment
 	Token    string `json:"token"`
 	Holds    string `json:"holds"`
 	Timeline uint32 `json:"timeline"` // of the node that answered
-	At       uint64 `json:"at"`       // where it stood
+	At       uint64 `json:"at"`       // log position of that node
 	Settled  bool   `json:"-"`
-	Dropped  bool   `json:"dropped,omitempty"` // for the judge: tokens were lost when it was fetched
+	Dropped  bool   `json:"dropped,omitempty"` // a token was lost while it was fetched; read only by the judge
 }
 
-// asked is one read that a driver was asked for, with what its token stood for.
-type asked struct {
+// tokenRead is a read that a driver was sent and the position that its token required.
+type tokenRead struct {
 	tag    string
 	slice  string
 	need   position.Position
-	served string // node
+	served string // the node
 }
 
-// chain is client, web tier, page cache, comment service and drivers, each on a socket of its own.
+// chain is a web tier, a page cache, a comment service and drivers, each on its own socket, and its clients.
 type chain struct {
 	*day
-	comments *httptest.Server
-	cache    *httptest.Server
-	web      *httptest.Server
-	http     *http.Client // between services
-	pages    *causalcache.Cache[page]
-	old      sync.Map // first pages, for a cache that mixes them up
-	seq      atomic.Int64
-	drops    atomic.Int64 // in thousandths of the paths
-	dropped  atomic.Int64
-	mixed    atomic.Int64
-	found    atomic.Int64 // mixed-up pages that the web tier found out
-	stale    atomic.Int64 // reads that a replica drawn at random would have answered from older data
-	steps    atomic.Int64
-
-	mu    sync.Mutex
-	asked []asked
-	looks []look
+	comments     *httptest.Server
+	cache        *httptest.Server
+	web          *httptest.Server
+	http         *http.Client // between services
+	pages        *causalcache.Cache[page]
+	firstPages   sync.Map // first page of each key, which the cache returns later in place of the right one
+	seq          atomic.Int64
+	dropRate     atomic.Int64 // in thousandths of the requests on lossy paths
+	dropped      atomic.Int64
+	mixed        atomic.Int64
+	detected     atomic.Int64 // wrong pages that the web tier detected
+	wouldBeStale atomic.Int64 // reads that a randomly chosen replica would have answered from older data
+	steps        atomic.Int64
+
+	mu           sync.Mutex
+	tokenReads   []tokenRead
+	checkedReads []checkedRead
 }
 
-// look is one read by a session that had kept the token of a write of its own to the same thread, or of a read of it.
-type look struct {
-	who, slice, thread string
-	wrote              string // tag of the write that it had made or seen
-	read               page
+// checkedRead is one read of a thread by a session that holds the token of an earlier write to it or read of it.
+type checkedRead struct {
+	session, slice, thread string
+	version                string // tag of the write that it had made or read
+	read                   page
 }
 
-// Chain plays sessions through a chain of services and caches that lose, mix up and repeat tokens, before
-// replicas that lag and primaries that change. Judged at clients and stand-ins: no own-read answered from data
-// older than the newest token it carried, and no session that kept its token misses what it wrote or saw. On odd seeds
-// commits show only a while after they are logged.
+// Chain plays sessions through a chain of services and caches that lose, swap and repeat tokens, before replicas
+// that lag and primaries that change. It checks at clients and stand-ins that no own-read is answered from data
+// older than the newest token it carried, and that no session that kept its token misses what it wrote or read. On
+// odd seeds commits become visible only some time after they are logged.
 func Chain(seed uint64) (*Report, error) { return chainOf(seed, chainSteps) }
 
-// slowCommit is how long commits take from their record in the log until they show, on odd seeds: long enough for replicas
-// to show them first, and for pages to be read in between.
+// slowCommit is the time from a commit's log record until the commit is visible on the primary, on odd seeds. It is
+// long enough for replicas to show the commit first and for pages to be read in between.
 const slowCommit = 25 * time.Millisecond
 
 func chainOf(seed uint64, steps int64) (*Report, error) {
@@ -97,19 +97,19 @@
 	if err != nil {
 		return nil, err
 	}
-	ctx, end := context.WithCancel(context.Background())
-	defer end()
-	stalls := StallMeter(ctx)
+	ctx, cancel := context.WithCancel(context.Background())
+	defer cancel()
+	maxStall := StallMeter(ctx)
 	c := &chain{day: newDay(ctx, f, rand.New(rand.NewPCG(seed, 0x636861)))}
 	if err := c.serve(); err != nil {
 		return nil, err
 	}
-	c.drops.Store(333)
+	c.dropRate.Store(333)
 	c.chainScript()
 	var clients sync.WaitGroup
 	begin := time.Now()
 	for i := range 48 {
-		r := &reader{chain: c, name: fmt.Sprintf("r%d", i), rng: rand.New(rand.NewPCG(seed, uint64(i))), kept: map[string]kept{}, bags: map[int]token.Bag{}}
+		r := &reader{chain: c, name: fmt.Sprintf("r%d", i), rng: rand.New(rand.NewPCG(seed, uint64(i))), versions: map[string]version{}, pastBags: map[int]token.Bag{}}
 		clients.Go(func() {
 			for ctx.Err() == nil && (c.steps.Load() < steps || time.Since(begin) < 6*time.Second) && time.Since(begin) < 15*time.Second {
 				r.step(ctx)
@@ -118,28 +118,28 @@
 		})
 	}
 	clients.Wait()
-	end()
+	cancel()
 	c.troubles.Wait()
 	for _, s := range []*httptest.Server{c.web, c.cache, c.comments} {
 		s.Close()
 	}
 	c.http.CloseIdleConnections()
-	slack := 30*time.Millisecond + 4*time.Duration(stalls.Load())
+	slack := 30*time.Millisecond + 4*time.Duration(maxStall.Load())
 	rules := c.judge()
 	closing := f.Close()
 	r := &Report{Name: "chain", Seed: seed, Slack: slack, Rules: rules}
-	r.fill(c.day, before, closing)
+	r.addChecks(c.day, before, closing)
 	r.Counts = map[Verdict]int{Served: int(c.steps.Load())}
 	r.Missing = nil
 	st := c.pages.Stats()
-	r.Faults = append(r.Faults, fmt.Sprintf("tokens dropped %d", c.dropped.Load()), fmt.Sprintf("pages mixed up %d, found out %d", c.mixed.Load(), c.found.Load()),
+	r.Faults = append(r.Faults, fmt.Sprintf("tokens dropped %d", c.dropped.Load()), fmt.Sprintf("pages mixed up %d, found out %d", c.mixed.Load(), c.detected.Load()),
 		fmt.Sprintf("cache hits %d of %d, behind %d", st.Hits, st.Hits+st.Absent+st.Expired+st.Behind, st.Behind),
-		fmt.Sprintf("reads that would have been stale without tokens %d", c.stale.Load()))
+		fmt.Sprintf("reads that would have been stale without tokens %d", c.wouldBeStale.Load()))
 	if c.steps.Load() < steps {
 		r.Missing = append(r.Missing, fmt.Sprintf("%d steps of %d", c.steps.Load(), steps))
 	}
-	if c.stale.Load() < steps/100 { // how many there are hangs on the machine too
-		r.Missing = append(r.Missing, fmt.Sprintf("only %d reads would have been stale without tokens", c.stale.Load()))
+	if c.wouldBeStale.Load() < steps/100 { // the number depends on the machine too
+		r.Missing = append(r.Missing, fmt.Sprintf("only %d reads would have been stale without tokens", c.wouldBeStale.Load()))
 	}
 	for _, rule := range rules {
 		if rule.Chances == 0 {
@@ -149,7 +149,7 @@
 	return r, nil
 }
 
-// chainSteps is how many steps of sessions a run makes at the least.
+// chainSteps is the minimum number of session steps in a run.
 const chainSteps = 10000
 
 func (c *chain) serve() (err error) {
@@ -157,24 +157,25 @@
 		return err
 	}
 	base := &http.Transport{MaxIdleConnsPerHost: 100}
-	c.http = &http.Client{Transport: &carry.Transport{Base: &lossy{chain: c, base: base}}, Timeout: 10 * time.Second}
+	c.http = &http.Client{Transport: &carry.Transport{Base: &lossyTransport{chain: c, base: base}}, Timeout: 10 * time.Second}
 	c.comments = httptest.NewServer(carry.Handler(http.HandlerFunc(c.commentService), false))
 	c.cache = httptest.NewServer(carry.Handler(http.HandlerFunc(c.pageCache), false))
 	c.web = httptest.NewServer(carry.Handler(http.HandlerFunc(c.webTier), true))
 	return nil
 }
 
-// lossy is the way between services: on one path in three, a third of the time, tokens are lost.
-type lossy struct {
+// lossyTransport is the network between services. One request in three takes a lossy path, which drops tokens at
+// dropRate.
+type lossyTransport struct {
 	chain *chain
 	base  *http.Transport
 }
 
-// dropMark tells the judge, and nobody else, that a token was lost on the way.
+// dropMark is the header that reports a dropped token to the judge. Services pass it on and otherwise ignore it.
 const dropMark = "X-Lab-Dropped"
 
-func (l *lossy) RoundTrip(r *http.Request) (*http.Response, error) {
-	path := rand.IntN(3) == 0 && rand.IntN(1000) < int(l.chain.drops.Load())
+func (l *lossyTransport) RoundTrip(r *http.Request) (*http.Response, error) {
+	path := rand.IntN(3) == 0 && rand.IntN(1000) < int(l.chain.dropRate.Load())
 	if path && r.Header.Get(carry.Header) != "" {
 		r = r.Clone(r.Context())
 		r.Header.Del(carry.Header)
@@ -190,30 +191,30 @@
 	return res, err
 }
 
-// CloseIdleConnections lets the client of the services close what it holds.
-func (l *lossy) CloseIdleConnections() { l.base.CloseIdleConnections() }
+// CloseIdleConnections closes the idle connections between services.
+func (l *lossyTransport) CloseIdleConnections() { l.base.CloseIdleConnections() }
 
-// commentService runs the statement at a driver, with all that was collected as its token.
+// commentService executes the statement at a driver, with the collected tokens.
 func (c *chain) commentService(w http.ResponseWriter, r *http.Request) {
 	col := carry.FromContext(r.Context())
-	handed := col.Bag()
+	carried := col.Bag()
 	tag := fmt.Sprintf("c%d", c.seq.Add(1))
 	slice, thread := r.FormValue("slice"), r.FormValue("thread")
-	req := &pb.ExecuteRequest{Slice: slice, Class: "own-read", Token: handed.String(), Timeout: durationpb.New(1500 * time.Millisecond),
+	req := &pb.ExecuteRequest{Slice: slice, Class: "own-read", Token: carried.String(), Timeout: durationpb.New(1500 * time.Millisecond),
 		Statement: "select value, lsn from kv where key = $1 and $2 <> ''", Parameters: []*pb.Value{text(thread), text(tag)}}
 	write := r.Method == http.MethodPost
 	if write {
 		req.Class, req.Statement = "write", "insert into kv (key, value) values ($1, $2)"
 	}
 	client := c.fleet.Drivers[rand.IntN(len(c.fleet.Drivers))].Client()
-	need := c.note(tag, slice, handed, write)
+	need := c.tokenPosition(tag, slice, carried, write)
 	res, err := client.Execute(r.Context(), req)
 	if err != nil {
 		w.Header().Set("X-Lab-Reason", reasonOf(err))
 		http.Error(w, err.Error(), http.StatusServiceUnavailable)
 		return
 	}
-	col.Covered(handed, res.Token)
+	col.Covered(carried, res.Token)
 	p := page{Token: res.Token, Holds: res.Holds, Timeline: res.Served.Timeline, At: res.Served.Lsn}
 	if len(res.Rows) > 0 {
 		p.Value, p.LSN = res.Rows[0].Values[0].GetTextValue(), res.Rows[0].Values[1].GetIntValue()
@@ -222,15 +223,16 @@
 		p.Value, p.LSN = tag, int64(res.Served.Lsn)
 	} else {
 		c.mu.Lock()
-		c.asked = append(c.asked, asked{tag, slice, need, res.Served.Node})
+		c.tokenReads = append(c.tokenReads, tokenRead{tag, slice, need, res.Served.Node})
 		c.mu.Unlock()
 	}
 	json.NewEncoder(w).Encode(p)
 }
 
-// note takes down what a read's token stands for, and whether a replica drawn at random would be behind it.
-func (c *chain) note(tag, slice string, handed token.Bag, write bool) position.Position {
-	t, _ := handed.Peek()
+// tokenPosition returns the position that a request's token requires. For reads it also counts whether a randomly
+// chosen replica would be behind it.
+func (c *chain) tokenPosition(tag, slice string, carried token.Bag, write bool) position.Position {
+	t, _ := carried.Peek()
 	need, _ := t.At(slice)
 	if write || need.IsZero() || need.LSN == position.Unknown {
 		return need
@@ -242,7 +244,7 @@
 		nodes := g.Nodes()
 		if n := nodes[rand.IntN(len(nodes))]; n != g.Primary() && n.Running() {
 			if at := n.Stands(); at.Timeline < need.Timeline || at.LSN < need.LSN {
-				c.stale.Add(1)
+				c.wouldBeStale.Add(1)
 			}
 		}
 	}
@@ -276,7 +278,8 @@
 	return p, res, json.Unmarshal(text, &p)
 }
 
-// pageCache keeps pages, by causal rules. Now and then it mixes them up: an old page under a fresh token.
+// pageCache caches pages under causal rules. One answer in 50 is wrong on purpose: an old page with the token of
+// the current one.
 func (c *chain) pageCache(w http.ResponseWriter, r *http.Request) {
 	col := carry.FromContext(r.Context())
 	q := url.Values{"slice": {r.FormValue("slice")}, "thread": {r.FormValue("thread")}}
@@ -297,7 +300,7 @@
 	var e causalcache.Entry[page]
 	var err error
 	after := col.Bag()
-	handed := after
+	carried := after
 	if r.FormValue("fresh") != "" {
 		e, err = fetch(r.Context(), after)
 	} else {
@@ -310,16 +313,16 @@
 		http.Error(w, err.Error(), http.StatusServiceUnavailable)
 		return
 	}
-	if _, whole := col.Bag().Peek(); e.Value.Dropped && (!whole || r.FormValue("fresh") != "") {
-		w.Header().Set(dropMark, "1") // else the web tier finds out
+	if _, complete := col.Bag().Peek(); e.Value.Dropped && (!complete || r.FormValue("fresh") != "") {
+		w.Header().Set(dropMark, "1") // else the web tier detects it
 	}
 	if e.Value.Settled && !e.Value.Dropped {
-		col.Covered(handed, e.Value.Token)
+		col.Covered(carried, e.Value.Token)
 	}
 	col.Answered(after.Texts()...)
 	p := e.Value
-	if first, kept := c.old.LoadOrStore(key, p); kept && r.FormValue("fresh") == "" && rand.IntN(50) == 0 {
-		p = first.(page) // an old page with the fresh token in its header
+	if first, loaded := c.firstPages.LoadOrStore(key, p); loaded && r.FormValue("fresh") == "" && rand.IntN(50) == 0 {
+		p = first.(page) // an old page with the current token in its header
 		c.mixed.Add(1)
 	}
 	json.NewEncoder(w).Encode(p)
@@ -329,8 +332,8 @@
 
 func (e *reasonError) Error() string { return e.reason }
 
-// webTier is what browsers talk to. It looks whether a page itself holds what its reader has seen, whatever the
-// header says, and asks past the cache if not.
+// webTier serves browsers. It checks whether the page itself covers what its reader has seen, whatever the header
+// says, and bypasses the cache if not.
 func (c *chain) webTier(w http.ResponseWriter, r *http.Request) {
 	col := carry.FromContext(r.Context())
 	slice := r.FormValue("slice")
@@ -347,7 +350,7 @@
 		holds, _ := token.Parse(p.Holds)
 		need, any := seen.At(slice)
 		if at, ok := holds.At(slice); any && (!ok || at.LSN == position.Unknown || !at.Covers(need)) {
-			c.found.Add(1)
+			c.detected.Add(1)
 			q.Set("fresh", "1")
 			p, res, err = ask()
 		}
@@ -367,21 +370,21 @@
 	json.NewEncoder(w).Encode(p)
 }
 
-// kept is a write that a session made or saw, and the place that its token stood for.
-type kept struct {
+// version is a write that a session made or read and the position in its token.
+type version struct {
 	tag string
 	at  position.Position
 }
 
-// reader is a session at a browser: a cookie, and what it wrote while it kept its tokens.
+// reader is a browser session: its cookie, and the versions whose tokens the cookie holds.
 type reader struct {
-	chain *chain
-	name  string
-	rng   *rand.Rand
-	bag   token.Bag
-	kept  map[string]kept // by slice and thread, the newest write that it made or saw whose token it holds
-	bags  map[int]token.Bag
-	seen  int
+	chain    *chain
+	name     string
+	rng      *rand.Rand
+	bag      token.Bag
+	versions map[string]version // by slice and thread, the newest write that it made or read and whose token it holds
+	pastBags map[int]token.Bag
+	reads    int
 }
 
 func (r *reader) step(ctx context.Context) {
@@ -411,7 +414,7 @@
 	}
 	for _, ck := range res.Cookies() {
 		if ck.Name == carry.Cookie {
-			r.bag = r.bag.Replace(bag, "").Absorb(token.ParseBag(ck.Value)) // as a browser's jar; what it sent comes back in it
+			r.bag = r.bag.Replace(bag, "").Absorb(token.ParseBag(ck.Value)) // as a browser's cookie jar does: the answer includes what the request sent
 		}
 	}
 	return p, res, json.Unmarshal(text, &p)
@@ -424,9 +427,9 @@
 func (r *reader) write(ctx context.Context, g *standin.Group, thread string) {
 	p, res, err := r.do(ctx, http.MethodPost, g, thread, r.bag)
 	if err == nil && res.Header.Get(dropMark) == "" {
-		if t, whole := r.bag.Peek(); whole {
+		if t, complete := r.bag.Peek(); complete {
 			if at, ok := t.At(g.Name); ok && at.LSN >= uint64(p.LSN) {
-				r.kept[g.Name+"/"+thread] = kept{p.Value, position.Position{Timeline: p.Timeline, LSN: uint64(p.LSN)}}
+				r.versions[g.Name+"/"+thread] = version{p.Value, position.Position{Timeline: p.Timeline, LSN: uint64(p.LSN)}}
 			}
 		}
 	}
@@ -434,46 +437,46 @@
 
 func (r *reader) read(ctx context.Context, g *standin.Group, thread string) {
 	bag := r.bag
-	r.bags[r.seen%8] = bag
-	r.seen++
-	old := r.rng.IntN(20) == 0
-	if old {
-		bag = r.bags[r.rng.IntN(len(r.bags))] // a retry that comes late, with the token of before
+	r.pastBags[r.reads%8] = bag
+	r.reads++
+	stale := r.rng.IntN(20) == 0
+	if stale {
+		bag = r.pastBags[r.rng.IntN(len(r.pastBags))] // a late retry with an earlier token
 	}
 	p, res, err := r.do(ctx, http.MethodGet, g, thread, bag)
 	if err != nil {
 		if res != nil && res.Header.Get("X-Lab-Reason") != "" && res.Header.Get("X-Lab-Reason") != "REFUSED" && res.Header.Get("X-Lab-Reason") != "FAILED" {
-			r.chain.struck(res.Header.Get("X-Lab-Reason"))
-			r.bag, r.kept = token.Bag{}, map[string]kept{}
+			r.chain.countFault(res.Header.Get("X-Lab-Reason"))
+			r.bag, r.versions = token.Bag{}, map[string]version{}
 		}
 		return
 	}
-	if old || res.Header.Get(dropMark) != "" {
+	if stale || res.Header.Get(dropMark) != "" {
 		return
 	}
-	wrote, ok := r.kept[g.Name+"/"+thread]
+	known, ok := r.versions[g.Name+"/"+thread]
 	t, _ := bag.Peek()
-	if at, still := t.At(g.Name); ok && still && at.Covers(wrote.at) { // else it has not kept the token
+	if at, still := t.At(g.Name); ok && still && at.Covers(known.at) { // else the cookie does not hold the token
 		r.chain.mu.Lock()
-		r.chain.looks = append(r.chain.looks, look{r.name, g.Name, thread, wrote.tag, p})
+		r.chain.checkedReads = append(r.chain.checkedReads, checkedRead{r.name, g.Name, thread, known.tag, p})
 		r.chain.mu.Unlock()
 	}
-	r.keep(g.Name, thread, p)
+	r.noteVersion(g.Name, thread, p)
 }
 
-// keep takes note of what a page showed, if the token that came with it is held.
-func (r *reader) keep(slice, thread string, p page) {
+// noteVersion records the version that a page showed if the cookie holds the token that came with it.
+func (r *reader) noteVersion(slice, thread string, p page) {
 	seen, err := token.Parse(p.Token)
-	held, whole := r.bag.Peek()
+	held, complete := r.bag.Peek()
 	at, ok := seen.At(slice)
-	if has, _ := held.At(slice); err == nil && whole && ok && p.Value != "" && at.LSN != position.Unknown && has.Covers(at) {
-		r.kept[slice+"/"+thread] = kept{p.Value, at}
+	if has, _ := held.At(slice); err == nil && complete && ok && p.Value != "" && at.LSN != position.Unknown && has.Covers(at) {
+		r.versions[slice+"/"+thread] = version{p.Value, at}
 	}
 }
 
-// judge looks at what reached the stand-ins and at what the sessions saw.
+// judge compares the recorded reads with the statements and commits at the stand-ins.
 func (c *chain) judge() []*Rule {
-	own := &Rule{Name: "seen stays seen", Chances: len(c.looks)}
+	own := &Rule{Name: "seen stays seen", Chances: len(c.checkedReads)}
 	tokens := &Rule{Name: "tokens honoured"}
 	byTag := map[string]standin.Statement{}
 	for _, s := range c.fleet.Trace.Statements() {
@@ -489,21 +492,21 @@
 			commits[w.Value] = w
 		}
 	}
-	for _, l := range c.looks {
-		w, ok := commits[l.wrote]
+	for _, l := range c.checkedReads {
+		w, ok := commits[l.version]
 		if !ok || w.Position.Timeline > l.read.Timeline || !groups[l.slice].Survives(w.Position, l.read.Timeline) {
 			if ok && w.Position.Timeline > l.read.Timeline {
-				own.Break("%s had seen %s at %v and read %s from timeline %d", l.who, l.wrote, w.Position, l.thread, l.read.Timeline)
+				own.Break("%s had seen %s at %v and read %s from timeline %d", l.session, l.version, w.Position, l.thread, l.read.Timeline)
 			} else {
 				own.Excused++ // a promotion lost the write
 			}
 			continue
 		}
 		if uint64(l.read.LSN) < w.Position.LSN {
-			own.Break("%s had seen %s at %v in %s/%s and read %d at %d:%d", l.who, l.wrote, w.Position, l.slice, l.thread, l.read.LSN, l.read.Timeline, l.read.At)
+			own.Break("%s had seen %s at %v in %s/%s and read %d at %d:%d", l.session, l.version, w.Position, l.slice, l.thread, l.read.LSN, l.read.Timeline, l.read.At)
 		}
 	}
-	for _, a := range c.asked {
+	for _, a := range c.tokenReads {
 		s, ok := byTag[a.tag+" "+a.served]
 		if !ok || a.need.IsZero() || a.need.LSN == position.Unknown {
 			continue
@@ -516,43 +519,44 @@
 	return []*Rule{tokens, own}
 }
 
-// chainScript makes replicas lag and primaries change, once with commits lost.
+// chainScript schedules replica lag and changes of the primary, one of which loses commits.
 func (c *chain) chainScript() {
 	for _, g := range c.fleet.Groups {
 		for i := range 3 {
 			n := g.Nodes()[1+i]
-			times, lasts := float64(20+c.rng.IntN(60)), c.span(500*time.Millisecond, 1500*time.Millisecond)
-			c.at(c.span(300*time.Millisecond, 4*time.Second), "replica lagged", func(context.Context) {
+			times, duration := float64(20+c.rng.IntN(60)), c.randomDuration(500*time.Millisecond, 1500*time.Millisecond)
+			c.schedule(c.randomDuration(300*time.Millisecond, 4*time.Second), "replica lagged", func(context.Context) {
 				n.Lag(times)
-				c.wait(lasts)
+				c.sleep(duration)
 				n.Lag(1)
 			})
 		}
-		c.at(c.span(1500*time.Millisecond, 3*time.Second), "promotion", func(context.Context) { c.handOver(g, false) })
+		c.schedule(c.randomDuration(1500*time.Millisecond, 3*time.Second), "promotion", func(context.Context) { c.failOver(g, false) })
 	}
 	g := c.fleet.Groups[c.rng.IntN(len(c.fleet.Groups))]
-	c.at(c.span(3500*time.Millisecond, 4500*time.Millisecond), "promotion that lost commits", func(context.Context) { c.handOver(g, true) })
+	c.schedule(c.randomDuration(3500*time.Millisecond, 4500*time.Millisecond), "promotion that lost commits", func(context.Context) { c.failOver(g, true) })
 }
 
-// handOver ends a primary and promotes another; if it is to lose commits, its replicas stand still before.
-func (d *day) handOver(g *standin.Group, loses bool) {
-	d.locks[g].Lock()
-	defer d.locks[g].Unlock()
+// failOver kills a primary, promotes a replica and restarts the old primary. To lose commits, it first stops the
+// replicas' replay.
+func (d *day) failOver(g *standin.Group, loseCommits bool) {
+	d.promotionLocks[g].Lock()
+	defer d.promotionLocks[g].Unlock()
 	old := g.Primary()
-	if loses {
+	if loseCommits {
 		for _, n := range g.Nodes() {
 			n.Lag(1e6)
 		}
-		d.wait(150 * time.Millisecond)
+		d.sleep(150 * time.Millisecond)
 	}
 	old.Die()
-	d.wait(100 * time.Millisecond)
+	d.sleep(100 * time.Millisecond)
 	if next := g.MostAdvanced(); next != nil {
 		g.Promote(next)
 	}
 	for _, n := range g.Nodes() {
 		n.Lag(1)
 	}
-	d.wait(200 * time.Millisecond)
+	d.sleep(200 * time.Millisecond)
 	d.restart(old)
 }
--- a/lab/client.go
+++ b/lab/client.go
@@ -23,113 +23,113 @@
 	"umberladder/token"
 )
 
-// Verdict is what a client made of a call.
+// Verdict is the outcome of a call for its client.
 type Verdict uint8
 
-// The verdicts.
+// Outcomes of a call.
 const (
 	Served     Verdict = iota
-	Refused            // the driver promised that a further try is harmless
-	Failed             // the driver made no promise
-	Left               // the client gave up on purpose
-	Unanswered         // no driver's word came: its process ended, or the rule is broken
+	Refused            // the driver reported that nothing ran, so that a retry is harmless
+	Failed             // the driver did not rule out that the request ran
+	Canceled           // by the client
+	Unanswered         // no answer of a driver arrived: its process ended or the rule is broken
 )
 
 var verdictNames = [...]string{"served", "refused", "failed", "left", "unanswered"}
 
 func (v Verdict) String() string { return verdictNames[v] }
 
-// Call is one request as its client saw it.
+// Call is one request as its client observed it.
 type Call struct {
-	Tag      string
-	Class    *Class
-	Slice    string
-	Session  string
-	Key      string
-	Driver   string
-	Sent     time.Time
-	Answered time.Time
-	Wait     time.Duration // what the driver was told the client waits
-	Verdict  Verdict
-	Text     string        // what came with a refusal or failure
-	Advice   time.Duration // of a refusal, after which to try again
-	Try      int           // 0 for the first
-	Broke    string        // the rule that it was found to break
-	After    []string      // tags of the session's writes that were served before
-	Served   *pb.Served
-	Token    string   // that came with the answer
-	Value    string   // of a read what it returned
-	Carries  []string // tags of the calls that its token covers
+	Tag         string
+	Class       *Class
+	Slice       string
+	Session     string
+	Key         string
+	Driver      string
+	Sent        time.Time
+	Answered    time.Time
+	Timeout     time.Duration // that the request gave the driver
+	Verdict     Verdict
+	Text        string        // error message of a refusal or failure
+	RetryDelay  time.Duration // advised by a refusal
+	Try         int           // 0 for the first, counts the client's retries
+	BrokenRule  string        // unused
+	PriorWrites []string      // tags of the session's writes that were served before
+	Served      *pb.Served
+	Token       string   // of the answer
+	Value       string   // that a read returned
+	Carries     []string // tags of the calls that the request's token covers
 }
 
-// Book collects the calls of all clients.
-type Book struct {
+// CallLog collects the calls of all clients.
+type CallLog struct {
 	mu    sync.Mutex
 	calls []Call
 }
 
-func (b *Book) add(c Call) {
+func (b *CallLog) add(c Call) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.calls = append(b.calls, c)
 }
 
-// Calls is a copy of all calls so far.
-func (b *Book) Calls() []Call {
+// Calls returns a copy of all calls so far.
+func (b *CallLog) Calls() []Call {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return append([]Call(nil), b.calls...)
 }
 
-// patience is how much longer than it says a client of the lab really waits, so that an answer that never
-// comes is told from one that comes late on a busy machine.
-const patience = 4 * time.Second
+// extraWait is how much longer than its stated timeout a client waits. It separates answers that never come from
+// answers that are late on a busy machine.
+const extraWait = 4 * time.Second
 
-// session is one reader account.
+// session is one client session.
 type session struct {
-	name   string
-	fleet  *Fleet
-	book   *Book
-	rng    *rand.Rand
-	bad    *atomic.Int64 // share of its calls that no node can run, in thousandths; nil for none
-	hot    *atomic.Int64 // share of its calls that all go to the first driver, in thousandths; nil for none
-	leaves float64       // share of calls that it gives up on in their midst
-	seq    int
-	tokens map[string]string // by slice
-	mail   chan handover
-	covers map[string][]string // by slice, tags of the calls that the token covers
-	writes map[string][]string // served ones, by slice
-	always bool                // it carries its token with every call, not only where it must
-	plant  Plant
-	client string  // the name that its calls give, "" for none
-	quiet  string  // a slice that it hardly writes to, reading by its first class instead
-	late   float64 // share of reads by a function that looks at the table at its end
-
-	home    int  // the first of the slices that it uses
-	sparing bool // it carries its token where it must, and with nothing else
+	name               string
+	fleet              *Fleet
+	callLog            *CallLog
+	rng                *rand.Rand
+	badShare           *atomic.Int64 // share of its calls that fail on every node, in thousandths; nil for none
+	hotShare           *atomic.Int64 // share of its calls that go to the first driver, in thousandths; nil for none
+	cancelShare        float64       // share of its calls that it cancels in flight
+	seq                int
+	tokens             map[string]string // by slice
+	inbox              chan tokenHandover
+	covered            map[string][]string // by slice, tags of the calls that the token covers
+	writes             map[string][]string // tags of the writes that were served, by slice
+	alwaysCarriesToken bool                // with every call, not only where the class requires a token
+	plant              Plant
+	clientName         string  // sent as metadata, "" for none
+	quietSlice         string  // a slice where most of its writes are replaced by reads of the first class
+	lateReadShare      float64 // share of reads by kv_late, which reads the table as it ends
+
+	home                   int  // index of the first slice that it uses
+	carriesTokenIfRequired bool // only with calls whose class requires a token
 }
 
-// Plant is a fault put in on purpose, to see whether judges find it.
+// Plant is a fault planted to check that the judges find it.
 type Plant uint8
 
-// The plants.
+// Planted faults.
 const (
 	NoPlant     Plant = iota
-	LowerTokens       // clients take the place from before a read for their token
-	NoTokens          // clients carry no token with reads, though they count as carrying one
-	LostAnswers       // a tenth of the answers come long after the client gave up
+	LowerTokens       // after a read, clients keep a token for the position before it
+	NoTokens          // reads carry no token but are recorded as if they did
+	LostAnswers       // a tenth of the answers arrive long after the client's timeout
 )
 
-func newSession(f *Fleet, b *Book, n int, leaves float64) *session {
-	return &session{name: fmt.Sprintf("s%d", n), fleet: f, book: b, leaves: leaves,
+func newSession(f *Fleet, b *CallLog, n int, cancelShare float64) *session {
+	return &session{name: fmt.Sprintf("s%d", n), fleet: f, callLog: b, cancelShare: cancelShare,
 		rng: rand.New(rand.NewPCG(f.Spec.Seed, uint64(n))), tokens: map[string]string{},
-		mail: make(chan handover, 4), covers: map[string][]string{}, writes: map[string][]string{}}
+		inbox: make(chan tokenHandover, 4), covered: map[string][]string{}, writes: map[string][]string{}}
 }
 
-// live makes calls until ctx ends, a pause between them.
-func (s *session) live(ctx context.Context, pause time.Duration) {
+// run makes calls until ctx ends, with random pauses around the given one.
+func (s *session) run(ctx context.Context, pause time.Duration) {
 	for ctx.Err() == nil {
-		s.once(ctx)
+		s.callRandom(ctx)
 		wait := time.Duration((0.5 + s.rng.Float64()) * float64(pause))
 		select {
 		case <-time.After(wait):
@@ -138,8 +138,8 @@
 	}
 }
 
-func (s *session) once(ctx context.Context) {
-	s.receive()
+func (s *session) callRandom(ctx context.Context) {
+	s.receiveTokens()
 	classes := s.fleet.Spec.Site.Classes
 	draw, i := s.rng.Float64(), 0
 	for ; i < len(classes)-1 && draw >= classes[i].Share; i++ {
@@ -147,74 +147,75 @@
 	}
 	g := s.fleet.Groups[s.rng.IntN(len(s.fleet.Groups))]
 	d := s.fleet.Drivers[s.rng.IntN(len(s.fleet.Drivers))]
-	if s.hot != nil && s.rng.IntN(1000) < int(s.hot.Load()) {
+	if s.hotShare != nil && s.rng.IntN(1000) < int(s.hotShare.Load()) {
 		d = s.fleet.Drivers[0]
 	}
-	leave := time.Duration(0)
-	if s.rng.Float64() < s.leaves {
-		leave = time.Duration(s.rng.Float64() * float64(30*time.Millisecond))
+	cancelAfter := time.Duration(0)
+	if s.rng.Float64() < s.cancelShare {
+		cancelAfter = time.Duration(s.rng.Float64() * float64(30*time.Millisecond))
 	}
-	if g.Name == s.quiet && classes[i].Need == balance.NeedWrite && s.rng.IntN(100) < 95 {
+	if g.Name == s.quietSlice && classes[i].Need == balance.NeedWrite && s.rng.IntN(100) < 95 {
 		i = 0
 	}
-	s.call(ctx, d, g.Name, &classes[i], leave)
+	s.call(ctx, d, g.Name, &classes[i], cancelAfter)
 }
 
-// call makes one call and books it. With a leave time, the client gives up after it.
-func (s *session) call(ctx context.Context, d *Driver, slice string, class *Class, leave time.Duration) *Call {
-	return s.try(ctx, d, slice, class, leave, class.Deadline, 0)
+// call makes one call and records it. If cancelAfter is set, the client cancels the call after that time.
+func (s *session) call(ctx context.Context, d *Driver, slice string, class *Class, cancelAfter time.Duration) *Call {
+	return s.tryCall(ctx, d, slice, class, cancelAfter, class.Deadline, 0)
 }
 
-// try is call for a client that tries more than once: with what is left of its time, and the number of the try.
-func (s *session) try(ctx context.Context, d *Driver, slice string, class *Class, leave, left time.Duration, number int) *Call {
+// tryCall is call for a client that retries: remaining is the rest of its time, try the number of the retry, 0 for
+// the first. It returns nil if the driver does not run.
+func (s *session) tryCall(ctx context.Context, d *Driver, slice string, class *Class, cancelAfter, remaining time.Duration, try int) *Call {
 	client := d.Client()
 	if client == nil {
-		return nil // the front has noticed that the driver is gone
+		return nil // the driver does not run
 	}
 	s.seq++
 	key := s.name
 	if s.rng.IntN(2) == 0 {
 		key = fmt.Sprintf("shared%d", s.rng.IntN(sharedKeys))
 	}
-	if slice == s.quiet {
+	if slice == s.quietSlice {
 		key = "shared0"
 	}
 	c := Call{Tag: fmt.Sprintf("%s-%d", s.name, s.seq), Class: class, Slice: slice, Session: s.name, Driver: d.Name,
-		Key: key, Wait: left, Try: number, After: append([]string(nil), s.writes[slice]...)}
+		Key: key, Timeout: remaining, Try: try, PriorWrites: append([]string(nil), s.writes[slice]...)}
 	req := s.request(&c)
-	if s.bad != nil && s.rng.IntN(1000) < int(s.bad.Load()) && class.Effect == balance.Safe {
+	if s.badShare != nil && s.rng.IntN(1000) < int(s.badShare.Load()) && class.Effect == balance.Safe {
 		req.Statement = "select 1/0"
 	}
-	limit, cancel := context.WithTimeout(context.WithoutCancel(ctx), left+patience)
+	callCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), remaining+extraWait)
 	defer cancel()
-	if s.client != "" {
-		limit = metadata.AppendToOutgoingContext(limit, carry.ClientKey, s.client)
+	if s.clientName != "" {
+		callCtx = metadata.AppendToOutgoingContext(callCtx, carry.ClientKey, s.clientName)
 	}
-	if leave > 0 {
-		// It leaves unannounced: a deadline would be told to the driver beforehand.
-		var quit context.CancelFunc
-		limit, quit = context.WithCancel(limit)
-		defer time.AfterFunc(leave, quit).Stop()
-		defer quit()
+	if cancelAfter > 0 {
+		// A cancel rather than a deadline, which gRPC would send to the driver in advance.
+		var cancelCall context.CancelFunc
+		callCtx, cancelCall = context.WithCancel(callCtx)
+		defer time.AfterFunc(cancelAfter, cancelCall).Stop()
+		defer cancelCall()
 	}
 	c.Sent = time.Now()
-	res, err := s.do(limit, client, req, &c)
+	res, err := s.do(callCtx, client, req, &c)
 	if s.plant == LostAnswers && len(c.Tag) > 0 && c.Tag[len(c.Tag)-1] == '7' {
-		time.Sleep(time.Until(c.Sent.Add(left + patience/2))) // whoever carries it to the client is that slow
+		time.Sleep(time.Until(c.Sent.Add(remaining + extraWait/2))) // delays the answer on its way to the client
 	}
 	c.Answered = time.Now()
 	c.Verdict, c.Text = verdictOf(err)
-	c.Advice = adviceOf(err)
-	if c.Verdict == Unanswered && leave > 0 && status.Code(err) == codes.Canceled {
-		c.Verdict = Left
+	c.RetryDelay = retryDelayOf(err)
+	if c.Verdict == Unanswered && cancelAfter > 0 && status.Code(err) == codes.Canceled {
+		c.Verdict = Canceled
 	}
 	switch {
 	case c.Verdict == Served:
-		s.heard(&c, res)
+		s.recordAnswer(&c, res)
 	case status.Code(err) == codes.FailedPrecondition:
-		s.drop(slice)
+		s.forgetToken(slice)
 	}
-	s.book.add(c)
+	s.callLog.add(c)
 	return &c
 }
 
@@ -222,19 +223,19 @@
 
 func (s *session) request(c *Call) *pb.ExecuteRequest {
 	carried := s.tokens[c.Slice]
-	if c.Class.Need != balance.NeedSession && !s.always && (s.sparing || s.rng.IntN(4) > 0) {
-		carried = "" // most clients carry it only where they must
+	if c.Class.Need != balance.NeedSession && !s.alwaysCarriesToken && (s.carriesTokenIfRequired || s.rng.IntN(4) > 0) {
+		carried = "" // most clients send it only where the class requires it
 	}
 	if carried != "" {
-		c.Carries = s.covers[c.Slice]
+		c.Carries = s.covered[c.Slice]
 	}
 	if s.plant == NoTokens && c.Class.Need != balance.NeedWrite {
 		carried = ""
 	}
 	req := &pb.ExecuteRequest{Slice: c.Slice, Class: c.Class.Name, Session: s.name, Token: carried,
-		Timeout: durationpb.New(c.Wait), Parameters: []*pb.Value{text(c.Key), text(c.Tag)},
+		Timeout: durationpb.New(c.Timeout), Parameters: []*pb.Value{text(c.Key), text(c.Tag)},
 		Statement: "select value, lsn from kv where key = $1 and $2 <> ''"}
-	if s.rng.Float64() < s.late {
+	if s.rng.Float64() < s.lateReadShare {
 		req.Statement = "select value, lsn from kv_late($1, $2)"
 	}
 	switch {
@@ -249,7 +250,7 @@
 	return req
 }
 
-// do makes the call; statistics come as a stream.
+// do sends the request. Classes with Stream use ExecuteStream.
 func (s *session) do(ctx context.Context, client pb.DriverClient, req *pb.ExecuteRequest, c *Call) (*pb.ExecuteResponse, error) {
 	if !c.Class.Stream {
 		return client.Execute(ctx, req, grpc.WaitForReady(false))
@@ -271,7 +272,7 @@
 			rows++
 		case *pb.ExecuteChunk_End_:
 			if p.End.Rows != rows {
-				return nil, fmt.Errorf("%d rows came of %d", rows, p.End.Rows)
+				return nil, fmt.Errorf("stream ended after %d of %d rows", rows, p.End.Rows)
 			}
 			res.Token, res.Holds = p.End.Token, p.End.Holds
 			return res, nil
@@ -279,8 +280,9 @@
 	}
 }
 
-// heard keeps what came with an answer: its token, if that covers the one before or is a write's.
-func (s *session) heard(c *Call, res *pb.ExecuteResponse) {
+// recordAnswer keeps what came with an answer. It replaces the session's token after writes and session reads, or
+// after every answer with alwaysCarriesToken.
+func (s *session) recordAnswer(c *Call, res *pb.ExecuteResponse) {
 	c.Served, c.Token = res.Served, res.Token
 	if len(res.Rows) > 0 {
 		c.Value = res.Rows[0].Values[0].GetTextValue()
@@ -289,16 +291,16 @@
 	if write {
 		s.writes[c.Slice] = append(s.writes[c.Slice], c.Tag)
 	}
-	if write || c.Class.Need == balance.NeedSession || s.always {
-		s.tokens[c.Slice], s.covers[c.Slice] = res.Token, []string{c.Tag}
+	if write || c.Class.Need == balance.NeedSession || s.alwaysCarriesToken {
+		s.tokens[c.Slice], s.covered[c.Slice] = res.Token, []string{c.Tag}
 		if s.plant == LowerTokens && !write {
-			s.tokens[c.Slice] = placeOf(c.Slice, res.Holds)
+			s.tokens[c.Slice] = positionToken(c.Slice, res.Holds)
 		}
 	}
 }
 
-// placeOf is a token for the place in the log alone that another text names.
-func placeOf(slice, holds string) string {
+// positionToken returns a token for the log position in holds without its transactions.
+func positionToken(slice, holds string) string {
 	tok, err := token.Parse(holds)
 	at, ok := tok.At(slice)
 	if err != nil || !ok {
@@ -308,29 +310,29 @@
 	return token.Token{}.With(slice, at).String()
 }
 
-// handover is a copy of a session's tokens on its way to another.
-type handover struct{ tokens, covers map[string][]string }
+// tokenHandover is a copy of a session's tokens for another session.
+type tokenHandover struct{ tokens, covers map[string][]string }
 
-// hand gives another session this one's tokens, to be held beside its own.
-func (s *session) hand(to *session) {
-	h := handover{map[string][]string{}, map[string][]string{}}
+// sendTokens sends another session this one's tokens, which it keeps in addition to its own.
+func (s *session) sendTokens(to *session) {
+	h := tokenHandover{map[string][]string{}, map[string][]string{}}
 	for slice, tok := range s.tokens {
-		h.tokens[slice], h.covers[slice] = []string{tok}, s.covers[slice]
+		h.tokens[slice], h.covers[slice] = []string{tok}, s.covered[slice]
 	}
 	select {
-	case to.mail <- h:
-	default: // it has enough of them
+	case to.inbox <- h:
+	default: // its inbox is full
 	}
 }
 
-// receive takes what other sessions handed over.
-func (s *session) receive() {
+// receiveTokens merges the tokens that other sessions sent.
+func (s *session) receiveTokens() {
 	for {
 		select {
-		case h := <-s.mail:
+		case h := <-s.inbox:
 			for slice, toks := range h.tokens {
 				s.tokens[slice] = token.ParseBag(append(toks, s.tokens[slice])...).String()
-				s.covers[slice] = append(slices.Clone(s.covers[slice]), h.covers[slice]...)
+				s.covered[slice] = append(slices.Clone(s.covered[slice]), h.covers[slice]...)
 			}
 		default:
 			return
@@ -338,18 +340,19 @@
 	}
 }
 
-// drop forgets the token of a slice, as a client does that was told that it stands for what is not there.
-func (s *session) drop(slice string) {
+// forgetToken removes the token of a slice, as a client does after a driver reported that the token covers commits
+// that no longer exist.
+func (s *session) forgetToken(slice string) {
 	delete(s.tokens, slice)
-	delete(s.covers, slice)
+	delete(s.covered, slice)
 	delete(s.writes, slice)
 }
 
-// sharedKeys is how many keys of a slice all sessions read and write, beside one of their own each.
+// sharedKeys is the number of keys of a slice that all sessions use, in addition to one key per session.
 const sharedKeys = 6
 
-// adviceOf is after which time a refusal asks to be tried again, 0 without one.
-func adviceOf(err error) time.Duration {
+// retryDelayOf returns the delay that a refusal advises, 0 without one.
+func retryDelayOf(err error) time.Duration {
 	for _, d := range status.Convert(err).Details() {
 		if info, ok := d.(*errdetails.RetryInfo); ok {
 			return info.RetryDelay.AsDuration()
@@ -358,7 +361,7 @@
 	return 0
 }
 
-// verdictOf reads a status: only the driver's own word carries its domain.
+// verdictOf classifies a status. Only answers of a driver have its ErrorInfo domain.
 func verdictOf(err error) (Verdict, string) {
 	if err == nil {
 		return Served, ""
--- a/lab/dayfile.go
+++ b/lab/dayfile.go
@@ -10,7 +10,7 @@
 	"umberladder/standin"
 )
 
-// dayFile is the part of a day, as the users' bench draws it, that the laboratory plays. Times in it are in
+// dayFile holds the part of a day file of the users' benchmark that the laboratory plays. Times are in
 // microseconds.
 type dayFile struct {
 	Site    string   `json:"site"`
@@ -83,7 +83,7 @@
 	At    float64 `json:"at"`
 	Len   float64 `json:"len"`
 	Size  float64 `json:"size"`
-	Extra float64 `json:"extra"` // in seconds, where it is a time
+	Extra float64 `json:"extra"` // in seconds if it is a time
 	On    []int   `json:"on"`
 	Which int     `json:"which"`
 	How   string  `json:"how"`
@@ -94,7 +94,7 @@
 	} `json:"steps"`
 }
 
-// readDay reads a day file. What is missing or out of place is named.
+// readDay reads a day file. Its errors name the fields that are missing or invalid.
 func readDay(path string) (*dayFile, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -102,56 +102,57 @@
 	}
 	var d dayFile
 	if err := json.Unmarshal(text, &d); err != nil {
-		return nil, fmt.Errorf("%s: no day file: %w", path, err)
+		return nil, fmt.Errorf("%s: not a day file: %w", path, err)
 	}
 	switch n := len(d.Classes); {
 	case n == 0 || len(d.Servers) == 0 || len(d.Balancers) == 0 || d.Length <= 0:
-		return nil, fmt.Errorf("%s: a day needs length, classes, servers and balancers", path)
+		return nil, fmt.Errorf("%s: incomplete day file: length, classes, servers and balancers are required", path)
 	case len(d.Fam.Read) != n || len(d.Fam.Bound) != n:
-		return nil, fmt.Errorf("%s: fam.read and fam.bound have %d and %d entries for %d classes; only days of primaries and replicas are played",
+		return nil, fmt.Errorf("%s: fam.read and fam.bound have %d and %d entries, want %d, one for each class; only days with primaries and replicas can be played",
 			path, len(d.Fam.Read), len(d.Fam.Bound), n)
 	}
 	for i, t := range d.Troubles {
 		for _, on := range t.On {
 			if on < 0 || on >= max(len(d.Servers), len(d.Balancers)) {
-				return nil, fmt.Errorf("%s: trouble %d (%s) strikes number %d, which is not there", path, i, t.Kind, on)
+				return nil, fmt.Errorf("%s: trouble %d (%s) is on number %d, which is neither a server nor a balancer", path, i, t.Kind, on)
 			}
 		}
 	}
 	return &d, nil
 }
 
-// Sizes of a replay on this machine.
+// Sizes of a replay on one machine.
 const (
-	replaySeconds = 10.0 // a day is played in so many
+	replaySeconds = 10.0 // length of the replay, whatever the day's length
 	replayNodes   = 12
 	replayDrivers = 4
-	replayRate    = 400.0 // requests a second that the nodes can do together
+	replayRate    = 400.0 // requests a second that all nodes can serve together
 )
 
-// shrink is how a day was scaled down.
-type shrink struct {
-	time    float64 // one second of the day is so many played
-	cells   []int   // played slices, by their number in the day
-	servers []int   // played servers, by their number in the day
+// scaledDay describes how a day was scaled down.
+type scaledDay struct {
+	time    float64 // replayed seconds per second of the day
+	cells   []int   // slices that are replayed, by their number in the day
+	servers []int   // servers that are replayed, by their number in the day
 	nodes   map[int]*standin.Node
 }
 
-func (s *shrink) span(micros float64) time.Duration {
+func (s *scaledDay) span(micros float64) time.Duration {
 	return time.Duration(micros * s.time * float64(time.Microsecond))
 }
 
-// scale picks whole slices up to the size of a replay, the smallest that troubles strike first.
-func (d *dayFile) scale() *shrink {
-	s := &shrink{time: replaySeconds * 1e6 / d.Length, nodes: map[int]*standin.Node{}}
-	struck, members := map[int]int{}, map[int][]int{}
+// scale picks whole slices until the next one would exceed replayNodes, those with most troubles first and then by
+// number.
+func (d *dayFile) scale() *scaledDay {
+	s := &scaledDay{time: replaySeconds * 1e6 / d.Length, nodes: map[int]*standin.Node{}}
+	strikes, members := map[int]int{}, map[int][]int{}
 	for i, srv := range d.Servers {
 		members[srv.Cell] = append(members[srv.Cell], i)
 	}
 	for _, t := range d.Troubles {
 		for _, on := range t.On {
 			if on < len(d.Servers) {
-				struck[d.Servers[on].Cell]++
+				strikes[d.Servers[on].Cell]++
 			}
 		}
 	}
@@ -159,7 +160,7 @@
 	for len(taken) < len(members) {
 		best := -1
 		for cell := range members {
-			if !taken[cell] && (best < 0 || struck[cell] > struck[best] || struck[cell] == struck[best] && cell < best) {
+			if !taken[cell] && (best < 0 || strikes[cell] > strikes[best] || strikes[cell] == strikes[best] && cell < best) {
 				best = cell
 			}
 		}
@@ -173,15 +174,15 @@
 	return s
 }
 
-// site is the day's classes and rules as drivers are told them. Clients' times stay as they are.
+// site returns the day's classes and rules for the drivers' settings. The clients' times are not scaled.
 func (d *dayFile) site() Site {
 	micros := func(v float64) time.Duration { return time.Duration(v) * time.Microsecond }
-	site := Site{Grace: micros(d.DrainGrace), Fall: micros(d.FallFor), Tip: d.FallMultiple, Copies: d.Allow.SecondCopies, Margin: 50 * time.Millisecond}
+	site := Site{Grace: micros(d.DrainGrace), Fall: micros(d.FallFor), Tip: d.FallMultiple, ParallelAttempts: d.Allow.SecondCopies, Margin: 50 * time.Millisecond}
 	needs := []balance.Need{balance.NeedAny, balance.NeedBounded, balance.NeedSession, balance.NeedFresh, balance.NeedWrite}
 	effects := map[string]balance.Effect{"safe": balance.Safe, "keyed": balance.Keyed, "unsafe": balance.Unsafe}
 	for i, c := range d.Classes {
 		class := Class{Name: c.Name, Need: needs[min(max(d.Fam.Read[i], 0), 4)], Effect: effects[c.Effect], Share: c.Share,
-			Target: micros(c.Aim), Deadline: micros(c.Deadline), Bound: micros(d.Fam.Bound[i]), Worth: c.Worth, Stream: c.Stream}
+			Target: micros(c.Aim), Deadline: micros(c.Deadline), Bound: micros(d.Fam.Bound[i]), Value: c.Worth, Stream: c.Stream}
 		if class.Effect == balance.Keyed {
 			class.Window = micros(c.Window)
 		}
@@ -190,15 +191,15 @@
 	return site
 }
 
-// node is how the day's machines behave at this scale: slow enough that all together do replayRate.
-func (d *dayFile) node(s *shrink) standin.Config {
+// node returns the configuration of the stand-ins, slow enough that all together serve replayRate.
+func (d *dayFile) node(s *scaledDay) standin.Config {
 	cfg := standin.Config{Cores: 2, Ship: time.Duration(d.Fam.Ship) * time.Microsecond, Apply: time.Millisecond, MaxConns: 200,
 		ColdFrom: 0.2, Ramp: 3 * time.Second}
 	if len(d.Tiers) > 0 && len(d.Tiers[0].Kinds) > 0 {
 		k := d.Tiers[0].Kinds[0]
 		cfg.ColdFrom, cfg.Ramp = k.ColdFrom, max(time.Second, s.span(k.Cold))
-		if told := d.Tiers[0].StatedColdFrom; told > 0 {
-			cfg.ColdFrom = min(cfg.ColdFrom, told)
+		if stated := d.Tiers[0].StatedColdFrom; stated > 0 {
+			cfg.ColdFrom = min(cfg.ColdFrom, stated)
 		}
 	}
 	cfg.Read = time.Duration(float64(cfg.Cores*len(s.servers)) / replayRate * float64(time.Second))
--- a/lab/fleet.go
+++ b/lab/fleet.go
@@ -1,5 +1,8 @@
-// Package lab plays whole days on loopback: drivers, stand-in db nodes and clients in one process, with
-// faults injected by a seed, judged by the traffic seen at the stand-ins and the clients alone.
+// Package lab takes a fleet description and a seed, or a day file or a simulated world, and plays failures against
+// real drivers and stand-in database nodes in one process, over loopback. It returns a Report or a world.Result
+// that judges five rules by what reached the nodes and the clients. The lab and experiment commands of
+// cmd/umberladder call it, lab/memory and the tests of package server start its fleets, and lab/soak uses its
+// rules.
 package lab
 
 import (
@@ -20,25 +23,25 @@
 	"umberladder/standin"
 )
 
-// Spec says what a fleet is made of.
+// Spec describes a fleet.
 type Spec struct {
 	Slices  int
-	Members int // nodes of a slice, the primary among them
+	Members int // nodes of a slice, including the primary
 	Drivers int
 	Site    Site      // UsersSite if it has no class
-	Layout  [][]Place // the nodes of each slice, the primary first; in place of Slices and Members
-	Halls   []string  // nodes and drivers are spread over them in turn; the users' two if empty
-	Dir     string    // if set, drivers follow an inventory file in it in place of being told
+	Layout  [][]Place // the nodes of each slice, the primary first; replaces Slices and Members
+	Zones   []string  // assigned to nodes and drivers in turn; two zones of the users if empty
+	Dir     string    // if set, drivers follow an inventory file in this directory instead of SetNodes
 	Node    standin.Config
 	Extra   string // further lines of the drivers' settings
 	Log     *zap.Logger
 	Seed    uint64
 }
 
-// Place is a node of a layout.
-type Place struct{ Name, Hall string }
+// Place is the name and zone of one node.
+type Place struct{ Name, Zone string }
 
-// places is the layout, made up where none is given.
+// places returns the layout, or one with generated names if there is none.
 func (s *Spec) places() [][]Place {
 	if len(s.Layout) > 0 {
 		return s.Layout
@@ -46,7 +49,7 @@
 	all := make([][]Place, s.Slices)
 	for i := range all {
 		for m := range s.Members {
-			all[i] = append(all[i], Place{fmt.Sprintf("db%d-%d", i, m), s.Halls[m%len(s.Halls)]})
+			all[i] = append(all[i], Place{fmt.Sprintf("db%d-%d", i, m), s.Zones[m%len(s.Zones)]})
 		}
 	}
 	return all
@@ -57,19 +60,19 @@
 	Name string
 	Hall string
 
-	mu      sync.Mutex
-	server  *server.Server
-	client  *grpc.ClientConn
-	done    chan error
-	stop    context.CancelFunc
-	started time.Time
-	ended   []span // its lives that are over
+	mu            sync.Mutex
+	server        *server.Server
+	client        *grpc.ClientConn
+	done          chan error
+	stop          context.CancelFunc
+	started       time.Time
+	pastLifetimes []lifetime // before the last Start
 }
 
-// span is a life of a driver.
-type span struct{ from, to time.Time }
+// lifetime is the time from one start of a driver to its end.
+type lifetime struct{ from, to time.Time }
 
-// Notice is a change of the list as a driver was told it.
+// Notice records that a driver was notified of a node's state.
 type Notice struct {
 	Driver string
 	Node   string
@@ -77,21 +80,22 @@
 	At     time.Time
 }
 
-// Fleet is what runs.
+// Fleet is a set of running drivers and stand-in nodes.
 type Fleet struct {
 	Spec    Spec
 	Trace   *standin.Trace
 	Groups  []*standin.Group
 	Drivers []*Driver
 
-	mu      sync.Mutex
-	nodes   []settings.Node
-	notices []Notice
-	starts  uint64
-	file    *nodeFile // nil unless Spec.Dir is set
+	mu         sync.Mutex
+	nodes      []settings.Node
+	notices    []Notice
+	startCount uint64
+	file       *nodeFile // nil unless Spec.Dir is set
 }
 
-// NewFleet starts stand-ins and drivers. Close ends them.
+// NewFleet starts stand-ins and drivers, which Close ends. It returns an error if a node can't listen or a driver
+// doesn't start; those already started are then ended.
 func NewFleet(spec Spec) (*Fleet, error) {
 	if spec.Log == nil {
 		spec.Log = zap.NewNop()
@@ -99,15 +103,15 @@
 	if len(spec.Site.Classes) == 0 {
 		spec.Site = UsersSite()
 	}
-	if len(spec.Halls) == 0 {
-		spec.Halls = []string{"reykjavik-a", "hafnarfjordur-b"}
+	if len(spec.Zones) == 0 {
+		spec.Zones = []string{"reykjavik-a", "hafnarfjordur-b"}
 	}
 	f := &Fleet{Spec: spec, Trace: standin.NewTrace()}
 	for i, places := range spec.places() {
 		g := standin.NewGroup(fmt.Sprintf("slice%d", i), spec.Site.Window(), f.Trace)
 		f.Groups = append(f.Groups, g)
 		for _, p := range places {
-			n, err := g.AddNode(p.Name, p.Hall, spec.Node)
+			n, err := g.AddNode(p.Name, p.Zone, spec.Node)
 			if err != nil {
 				f.Close()
 				return nil, err
@@ -117,12 +121,12 @@
 	}
 	if spec.Dir != "" {
 		f.file = newNodeFile(spec.Dir, spec.Seed)
-		f.file.there = func(nodes []settings.Node) { f.toldAll(nodes, true) }
-		f.file.stood = func(nodes []settings.Node) { f.toldAll(nodes, false) }
+		f.file.onReadable = func(nodes []settings.Node) { f.recordFileNotices(nodes, true) }
+		f.file.onNoticed = func(nodes []settings.Node) { f.recordFileNotices(nodes, false) }
 		f.file.write(f.nodes)
 	}
 	for d := range spec.Drivers {
-		drv := &Driver{Name: fmt.Sprintf("driver%d", d), Hall: spec.Halls[d%len(spec.Halls)]}
+		drv := &Driver{Name: fmt.Sprintf("driver%d", d), Hall: spec.Zones[d%len(spec.Zones)]}
 		f.Drivers = append(f.Drivers, drv)
 		if err := f.Start(drv); err != nil {
 			f.Close()
@@ -132,9 +136,10 @@
 	return f, nil
 }
 
-// Settings is what a driver of the fleet is told.
+// Settings returns the settings of one driver, with the present list of nodes or, if Spec.Dir is set, the inventory
+// file. It returns an error if they are invalid.
 func (f *Fleet) Settings(d *Driver) (*settings.Settings, error) {
-	text := f.Spec.Site.Settings() + "hall " + strings.Join(f.Spec.Halls, " ") + "\nhere " + d.Hall + "\n" +
+	text := f.Spec.Site.Settings() + "hall " + strings.Join(f.Spec.Zones, " ") + "\nhere " + d.Hall + "\n" +
 		fmt.Sprintf("listen grpc 127.0.0.1:0\nrouters %d\npool user %s\ncold ramp %s\ncold from %g%%\n", f.Spec.Drivers, d.Name,
 			f.Spec.Node.Ramp, 100*f.Spec.Node.ColdFrom) + f.Spec.Extra
 	if f.file != nil {
@@ -150,15 +155,16 @@
 	return s, nil
 }
 
-// Start starts a driver that does not run. It knows the list as it is, and nothing else.
+// Start starts a driver that does not run. The driver knows the present list of nodes and nothing of its earlier
+// lifetimes. The error is that of the settings or of server.New.
 func (f *Fleet) Start(d *Driver) error {
 	s, err := f.Settings(d)
 	if err != nil {
 		return err
 	}
 	f.mu.Lock()
-	f.starts++
-	seed := f.Spec.Seed*1000 + f.starts
+	f.startCount++
+	seed := f.Spec.Seed*1000 + f.startCount
 	f.mu.Unlock()
 	srv, err := server.New(s, f.Spec.Log.Named(d.Name), seed)
 	if err != nil {
@@ -177,14 +183,14 @@
 	nodes := append([]settings.Node(nil), f.nodes...)
 	f.mu.Unlock()
 	if f.file == nil {
-		f.told(d.Name, nodes)
+		f.recordNotices(d.Name, nodes)
 	}
 	go func() { done <- srv.Run(ctx) }()
 	return nil
 }
 
-// told notes what a driver was told of the nodes.
-func (f *Fleet) told(driver string, nodes []settings.Node) {
+// recordNotices records that a driver was notified of the state of nodes.
+func (f *Fleet) recordNotices(driver string, nodes []settings.Node) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := time.Now()
@@ -193,31 +199,31 @@
 	}
 }
 
-// toldAll notes what all drivers were told by a file: that a node is ready as soon as they can know it, that it
-// drains or is gone once they must.
-func (f *Fleet) toldAll(nodes []settings.Node, ready bool) {
-	var some []settings.Node
+// recordFileNotices records notices of all drivers that follow the file: of ready nodes as soon as drivers can read
+// it, of others once every driver must have read it.
+func (f *Fleet) recordFileNotices(nodes []settings.Node, ready bool) {
+	var changed []settings.Node
 	for _, n := range nodes {
 		if (n.Life == balance.LifeReady) == ready {
-			some = append(some, n)
+			changed = append(changed, n)
 		}
 	}
 	for _, d := range f.Drivers {
-		if ready || d.standsSince(noticeFile) {
-			f.told(d.Name, some)
+		if ready || d.runningFor(fileNoticeDelay) {
+			f.recordNotices(d.Name, changed)
 		}
 	}
 }
 
-// Notices is all that drivers were told.
+// Notices returns all notices so far.
 func (f *Fleet) Notices() []Notice {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return append([]Notice(nil), f.notices...)
 }
 
-// List changes the list and tells every driver that runs.
-func (f *Fleet) List(change func(n *settings.Node)) {
+// UpdateNodes applies change to every node of the list and notifies the running drivers.
+func (f *Fleet) UpdateNodes(change func(n *settings.Node)) {
 	f.mu.Lock()
 	for i := range f.nodes {
 		change(&f.nodes[i])
@@ -229,20 +235,20 @@
 		return
 	}
 	for _, d := range f.Drivers {
-		if srv := d.running(); srv != nil {
+		if srv := d.runningServer(); srv != nil {
 			srv.SetNodes(nodes)
-			f.told(d.Name, nodes)
+			f.recordNotices(d.Name, nodes)
 		}
 	}
 }
 
-func (d *Driver) running() *server.Server {
+func (d *Driver) runningServer() *server.Server {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.server
 }
 
-// Client is a client of the driver, nil while it does not run.
+// Client returns a gRPC client of the driver, nil while it does not run.
 func (d *Driver) Client() pb.DriverClient {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -252,13 +258,15 @@
 	return pb.NewDriverClient(d.client)
 }
 
-// Kill ends a driver as if its process had died, Stop as by SIGTERM. Both return when it is gone.
-func (d *Driver) Kill() error { return d.end(true) }
+// Kill ends a driver as if its process had crashed. It returns when the driver has ended, with the error of its
+// Run; nil if it did not run.
+func (d *Driver) Kill() error { return d.shutDown(true) }
 
-// Stop ends a driver as by SIGTERM.
-func (d *Driver) Stop() error { return d.end(false) }
+// Stop ends a driver as SIGTERM does. It returns when the driver has ended, with the error of its Run; nil if it
+// did not run.
+func (d *Driver) Stop() error { return d.shutDown(false) }
 
-func (d *Driver) end(kill bool) error {
+func (d *Driver) shutDown(kill bool) error {
 	d.mu.Lock()
 	srv, client, stop, done := d.server, d.client, d.stop, d.done
 	if srv == nil {
@@ -266,7 +274,7 @@
 		return nil
 	}
 	d.server, d.client = nil, nil
-	d.ended = append(d.ended, span{d.started, time.Now()})
+	d.pastLifetimes = append(d.pastLifetimes, lifetime{d.started, time.Now()})
 	d.mu.Unlock()
 	if kill {
 		srv.Kill()
@@ -277,21 +285,21 @@
 	return err
 }
 
-// standsSince tells whether the driver has run for so long.
-func (d *Driver) standsSince(t time.Duration) bool {
+// runningFor reports whether the driver has run for at least t.
+func (d *Driver) runningFor(t time.Duration) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.server != nil && time.Since(d.started) >= t
 }
 
-// aliveDuring tells whether one life of the driver covers a time.
-func (d *Driver) aliveDuring(from, to time.Time) bool {
+// ranThroughout reports whether the driver ran without interruption between two times.
+func (d *Driver) ranThroughout(from, to time.Time) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.server != nil && !from.Before(d.started) {
 		return true
 	}
-	for _, s := range d.ended {
+	for _, s := range d.pastLifetimes {
 		if !from.Before(s.from) && !to.After(s.to) {
 			return true
 		}
@@ -299,7 +307,7 @@
 	return false
 }
 
-// Close ends drivers and stand-ins, and tells what went wrong on the way.
+// Close ends drivers and stand-ins. Its error joins those of the drivers' Run.
 func (f *Fleet) Close() error {
 	var problems []string
 	for _, d := range f.Drivers {
@@ -316,19 +324,20 @@
 	return nil
 }
 
-// Add lists a further node and tells every driver that runs. The node is whatever listens at its address.
+// Add lists a further node and notifies the running drivers. The node may be any process that listens at its
+// address.
 func (f *Fleet) Add(n settings.Node) {
 	f.mu.Lock()
 	f.nodes = append(f.nodes, n)
 	f.mu.Unlock()
-	f.List(func(*settings.Node) {})
+	f.UpdateNodes(func(*settings.Node) {})
 }
 
-// Addr is where the driver serves clients; it differs from life to life.
-func (d *Driver) Addr() string { return d.running().Addr() }
+// Addr returns the driver's gRPC address, which changes with each start. The driver must be running.
+func (d *Driver) Addr() string { return d.runningServer().Addr() }
 
-// named is the driver of a name, nil if there is none.
-func (f *Fleet) named(name string) *Driver {
+// driverNamed returns nil if there is no such driver.
+func (f *Fleet) driverNamed(name string) *Driver {
 	for _, d := range f.Drivers {
 		if d.Name == name {
 			return d
@@ -337,7 +346,7 @@
 	return nil
 }
 
-// NodeOf is a stand-in as the list has it.
+// NodeOf returns the list entry of a stand-in.
 func NodeOf(n *standin.Node) settings.Node {
 	return settings.Node{Name: n.Name, Address: n.Addr(), Slice: n.Group().Name, Hall: n.Hall}
 }
--- a/lab/importday_test.go
+++ b/lab/importday_test.go
@@ -11,7 +11,8 @@
 	"umberladder/lab/experiment"
 )
 
-// TestImport: every kind of trouble of a day becomes one that an experiment knows, but for those that nobody does.
+// TestImport checks that every known kind of trouble is converted to one that an experiment can parse, and an
+// unknown kind to a comment.
 func TestImport(t *testing.T) {
 	kinds := []string{"crash", "hang", "ageing", "pauses", "neighbour", "replica_lag", "idle_reap", "handshake_slow", "conn_squeeze", "shared_slow", "slow_link",
 		"burst", "bad_requests", "hot_caller", "discovery_down", "wrong_list", "balancer_crash", "balancer_roll", "preempt", "nobody knows"}
--- a/lab/judge.go
+++ b/lab/judge.go
@@ -12,33 +12,33 @@
 	"umberladder/standin"
 )
 
-// Rule is one of the five rules as a run kept it.
+// Rule is the outcome of one rule in a run.
 type Rule struct {
 	Name    string
-	Chances int      // occasions on which it could have been broken
+	Chances int      // occasions on which the rule could have been broken
 	Excused int      // occasions that the rule itself excuses
-	Broken  []string // one line each
+	Broken  []string // one line for each break
 }
 
-// Break notes a break of the rule, in one line.
+// Break records a break of the rule as one line.
 func (r *Rule) Break(format string, args ...any) {
 	r.Broken = append(r.Broken, fmt.Sprintf(format, args...))
 }
 
-// Report is the judgement of a run.
+// Report is the result of a run.
 type Report struct {
 	Name    string
 	Seed    uint64
 	Rules   []*Rule
 	Counts  map[Verdict]int
 	Faults  []string
-	Slack   time.Duration // how long this machine kept a ready goroutine waiting at the most
+	Slack   time.Duration // for comparing times: 30 ms and four times the longest delay of a ready goroutine
 	Leaks   []string
-	Missing []string // what a run must show and this one did not
-	Notes   []string // figures, a line each
+	Missing []string // evidence that the run had to produce and did not
+	Notes   []string // figures, one line each
 }
 
-// Broken is how many times a rule was broken, leaks and missing proofs included.
+// Broken returns the number of broken rules, leaks and entries of Missing.
 func (r *Report) Broken() int {
 	n := len(r.Leaks) + len(r.Missing)
 	for _, rule := range r.Rules {
@@ -47,7 +47,7 @@
 	return n
 }
 
-// judge holds what a run left behind, arranged for looking up.
+// judge indexes what a run recorded.
 type judge struct {
 	fleet   *Fleet
 	calls   []Call
@@ -58,8 +58,8 @@
 	slack   time.Duration
 }
 
-// Judge judges a run by what reached the stand-ins and the clients. Times of different goroutines are
-// compared with the slack: how late this machine was seen to run one that was ready.
+// Judge judges a run by what reached the stand-ins and the clients. Slack is the tolerance for comparing times
+// taken in different goroutines, which this machine may run late.
 func Judge(f *Fleet, calls []Call, slack time.Duration) []*Rule {
 	j := &judge{fleet: f, calls: calls, byTag: map[string][]standin.Statement{}, byNode: map[string][]standin.Statement{},
 		groups: map[string]*standin.Group{}, commits: map[string]standin.Commit{}, slack: slack}
@@ -75,15 +75,16 @@
 			j.commits[c.Value] = c
 		}
 	}
-	return []*Rule{j.oneAnswer(), j.noSecondEffect(), j.drainsKept(), j.coldSpared(), j.noStaleRead(), f.seen(calls)}
+	return []*Rule{j.oneAnswer(), j.noSecondEffect(), j.drainsKept(), j.coldSpared(), j.noStaleRead(), f.judgeValues(calls)}
 }
 
-// oneAnswer: whatever a running driver took is answered once, in time, and nothing is sent for it after.
+// oneAnswer checks that each request to a running driver is answered in time, and that nothing is sent to a node
+// for it afterwards.
 func (j *judge) oneAnswer() *Rule {
 	r := &Rule{Name: "one final answer"}
 	for i := range j.calls {
 		c := &j.calls[i]
-		if !j.fleet.named(c.Driver).aliveDuring(c.Sent, c.Answered) {
+		if !j.fleet.driverNamed(c.Driver).ranThroughout(c.Sent, c.Answered) {
 			r.Excused++
 			continue
 		}
@@ -91,8 +92,8 @@
 		if c.Verdict == Unanswered {
 			r.Break("%s %s at %s: no answer (%s)", c.Class.Name, c.Tag, c.Driver, c.Text)
 		}
-		if late := c.Answered.Sub(c.Sent) - c.Wait; c.Verdict != Left && late > j.slack {
-			r.Break("%s %s at %s: answered %v after the client gave up", c.Class.Name, c.Tag, c.Driver, late)
+		if late := c.Answered.Sub(c.Sent) - c.Timeout; c.Verdict != Canceled && late > j.slack {
+			r.Break("%s %s at %s: answered %v after the client's timeout", c.Class.Name, c.Tag, c.Driver, late)
 		}
 		for _, s := range j.byTag[c.Tag] {
 			if after := s.Arrived.Sub(c.Answered); after > j.slack {
@@ -103,7 +104,8 @@
 	return r
 }
 
-// noSecondEffect: what may have run goes out again only as its class allows, and never while it is out.
+// noSecondEffect checks that a request that may have run is sent again only as its class allows, and never while an
+// earlier attempt is in flight unless the site allows that.
 func (j *judge) noSecondEffect() *Rule {
 	r := &Rule{Name: "no second effect"}
 	for i := range j.calls {
@@ -116,7 +118,7 @@
 			}
 			if k > 0 {
 				r.Chances++
-				j.again(r, c, &all[k-1], &all[k])
+				j.judgeRepeat(r, c, &all[k-1], &all[k])
 			}
 		}
 		write := c.Class.Need == balance.NeedWrite
@@ -130,57 +132,58 @@
 	return r
 }
 
-// again judges two attempts of one request that followed each other.
-func (j *judge) again(r *Rule, c *Call, first, next *standin.Statement) {
-	unrun := first.Code != "" // the node said that nothing ran
+// judgeRepeat judges two consecutive attempts of one request.
+func (j *judge) judgeRepeat(r *Rule, c *Call, first, next *standin.Statement) {
+	notRun := first.Code != "" // the node reported that nothing ran
 	switch age := next.Arrived.Sub(first.Arrived); {
-	case unrun:
+	case notRun:
 	case c.Class.Effect == balance.Unsafe:
-		r.Break("%s %s went to %s and again to %s though it may have run", c.Class.Name, c.Tag, first.Node, next.Node)
+		r.Break("%s %s was sent to %s and again to %s although it may have run", c.Class.Name, c.Tag, first.Node, next.Node)
 	case c.Class.Effect == balance.Keyed && age > c.Class.Window:
-		r.Break("%s %s went out again after %v, outside its window", c.Class.Name, c.Tag, age)
+		r.Break("%s %s was sent again after %v, outside its idempotency window", c.Class.Name, c.Tag, age)
 	}
-	over := !first.Ended.IsZero() && first.Ended.Sub(next.Arrived) <= j.slack
-	called := !first.Canceled.IsZero() && first.Canceled.Sub(next.Arrived) <= j.slack
-	if !over && !called && !j.fleet.Spec.Site.Copies {
-		r.Break("%s %s was at %s and at %s together", c.Class.Name, c.Tag, first.Node, next.Node)
+	ended := !first.Ended.IsZero() && first.Ended.Sub(next.Arrived) <= j.slack
+	canceled := !first.Canceled.IsZero() && first.Canceled.Sub(next.Arrived) <= j.slack
+	if !ended && !canceled && !j.fleet.Spec.Site.ParallelAttempts {
+		r.Break("%s %s was in flight at %s and at %s at once", c.Class.Name, c.Tag, first.Node, next.Node)
 	}
 }
 
-// drainsKept: nothing new to a node later than the grace after the driver was told.
+// drainsKept checks that a driver sends nothing new to a draining node once the grace after its notification has
+// passed.
 func (j *judge) drainsKept() *Rule {
 	r := &Rule{Name: "drains kept"}
 	type pair struct{ driver, node string }
 	last := map[pair]Notice{}
-	var bound []struct{ from, to Notice }
+	var drains []struct{ from, to Notice }
 	for _, n := range j.fleet.Notices() {
 		p := pair{n.Driver, n.Node}
-		was, known := last[p]
-		if known && was.Life != balance.LifeReady && n.Life == balance.LifeReady {
-			bound = append(bound, struct{ from, to Notice }{was, n})
+		previous, known := last[p]
+		if known && previous.Life != balance.LifeReady && n.Life == balance.LifeReady {
+			drains = append(drains, struct{ from, to Notice }{previous, n})
 		}
-		if !known || was.Life == balance.LifeReady || n.Life == balance.LifeReady {
-			last[p] = n // a drain binds from when it was told first
+		if !known || previous.Life == balance.LifeReady || n.Life == balance.LifeReady {
+			last[p] = n // the grace starts with the first notification of a drain
 		}
 	}
 	for _, n := range last {
 		if n.Life != balance.LifeReady {
-			bound = append(bound, struct{ from, to Notice }{n, Notice{At: n.At.Add(time.Hour)}})
+			drains = append(drains, struct{ from, to Notice }{n, Notice{At: n.At.Add(time.Hour)}})
 		}
 	}
-	for _, b := range bound {
+	for _, b := range drains {
 		r.Chances++
 		for _, s := range j.byNode[b.from.Node] {
 			if s.Driver == b.from.Driver && s.Arrived.After(b.from.At.Add(j.fleet.Spec.Site.Grace+j.slack)) && s.Arrived.Before(b.to.At) {
-				r.Break("%s sent %s to %s %v after it was told that it drains", s.Driver, s.Tag, s.Node, s.Arrived.Sub(b.from.At))
+				r.Break("%s sent %s to %s %v after it was notified that the node drains", s.Driver, s.Tag, s.Node, s.Arrived.Sub(b.from.At))
 			}
 		}
 	}
 	return r
 }
 
-// coldSpared: over the fall time, a node that started anew gets no more than the tip multiple of what it can
-// do by then.
+// coldSpared checks that, within any window of the fall time, a node that has just started gets no more requests
+// than the tip multiple of what it can serve by then.
 func (j *judge) coldSpared() *Rule {
 	r := &Rule{Name: "cold nodes spared"}
 	cfg := j.fleet.Spec.Node
@@ -194,9 +197,9 @@
 				k++
 			}
 			age := min(1, all[k-1].Arrived.Sub(start.At).Seconds()/cfg.Ramp.Seconds())
-			can := cfg.Capacity() * j.fleet.Spec.Site.Fall.Seconds() * (cfg.ColdFrom + (1-cfg.ColdFrom)*age)
-			if float64(k-i) > j.fleet.Spec.Site.Tip*can {
-				r.Break("%s got %d in %v, %v after its start, and could do %.0f", start.Node, k-i, j.fleet.Spec.Site.Fall, all[i].Arrived.Sub(start.At), can)
+			capacity := cfg.Capacity() * j.fleet.Spec.Site.Fall.Seconds() * (cfg.ColdFrom + (1-cfg.ColdFrom)*age)
+			if float64(k-i) > j.fleet.Spec.Site.Tip*capacity {
+				r.Break("%s got %d requests in %v, %v after its start, and could serve %.0f", start.Node, k-i, j.fleet.Spec.Site.Fall, all[i].Arrived.Sub(start.At), capacity)
 				break
 			}
 		}
@@ -204,8 +207,8 @@
 	return r
 }
 
-// noStaleRead: no answer comes from data older than its class allows. A node that says it is primary is
-// believed until another is known, so what it serves from a timeline that was left is excused.
+// noStaleRead checks that no answer comes from data older than its class allows. Drivers believe a node that claims
+// to be the primary until they observe another one, so what it serves from a superseded timeline is excused.
 func (j *judge) noStaleRead() *Rule {
 	r := &Rule{Name: "no stale read"}
 	for i := range j.calls {
@@ -218,13 +221,13 @@
 		switch c.Class.Need {
 		case balance.NeedBounded:
 			r.Chances++
-			j.reaches(r, c, s, g, s.Arrived.Add(-c.Class.Bound-j.slack))
+			j.checkFreshness(r, c, s, g, s.Arrived.Add(-c.Class.Bound-j.slack))
 		case balance.NeedFresh:
 			r.Chances++
-			j.reaches(r, c, s, g, c.Sent)
+			j.checkFreshness(r, c, s, g, c.Sent)
 		case balance.NeedSession:
 			r.Chances++
-			for _, tag := range c.After {
+			for _, tag := range c.PriorWrites {
 				w, ok := j.commits[tag]
 				if ok && g.Survives(w.Position, s.Position.Timeline) && w.Position.LSN > s.Position.LSN {
 					r.Break("%s %s at %s saw %v, its session's write %s is at %v", c.Class.Name, c.Tag, s.Node, s.Position, tag, w.Position)
@@ -235,7 +238,7 @@
 	return r
 }
 
-// servedBy is the statement whose answer the client got.
+// servedBy returns the statement whose answer the client got, nil if the call was not served.
 func (j *judge) servedBy(c *Call) *standin.Statement {
 	if c.Verdict != Served || c.Served == nil {
 		return nil
@@ -249,8 +252,8 @@
 	return nil
 }
 
-// reaches looks for a commit from before a time that the answer's data lacks.
-func (j *judge) reaches(r *Rule, c *Call, s *standin.Statement, g *standin.Group, before time.Time) {
+// checkFreshness reports a break if the data of an answer lacks a commit from before the given time.
+func (j *judge) checkFreshness(r *Rule, c *Call, s *standin.Statement, g *standin.Group, before time.Time) {
 	for _, w := range g.Commits() {
 		if w.At.Before(before) && j.lacks(g, s.Position, w.Position) {
 			if !s.Replica {
@@ -264,7 +267,7 @@
 	}
 }
 
-// lacks tells whether data at a place lacks a commit that is part of the slice's present history.
+// lacks reports whether data at position at lacks a commit that is part of the slice's present history.
 func (j *judge) lacks(g *standin.Group, at, commit position.Position) bool {
 	if commit.Timeline > at.Timeline {
 		return true
@@ -272,7 +275,7 @@
 	return g.Survives(commit, at.Timeline) && commit.LSN > at.LSN
 }
 
-// Write writes the report; its last line is "rules broken: N".
+// Write prints the report. Its last line is "rules broken: N".
 func (r *Report) Write(w io.Writer) {
 	fmt.Fprintf(w, "%s, seed %d\n", r.Name, r.Seed)
 	fmt.Fprintf(w, "  faults: %s\n", strings.Join(r.Faults, ", "))
--- a/lab/lab_test.go
+++ b/lab/lab_test.go
@@ -17,32 +17,32 @@
 	"umberladder/standin"
 )
 
-// TestBadDay plays one day; `umberladder lab badday --seed N` plays others.
+// TestBadDay plays one seed; `umberladder lab badday --seed N` plays others.
 func TestBadDay(t *testing.T) {
 	check(t, func() (*Report, error) { return BadDay(11) })
 }
 
-// TestInventory plays one day of an inventory at odd hours.
+// TestInventory plays one day on which the inventory file is corrupted and restored.
 func TestInventory(t *testing.T) {
 	check(t, func() (*Report, error) { return Inventory(12) })
 }
 
-// TestChain plays one chain of services. How many steps fit into its time hangs on the machine.
+// TestChain plays one chain of services for each of two seeds. The number of steps depends on the machine.
 func TestChain(t *testing.T) {
-	for _, seed := range []uint64{13, 14} { // with commits that show late and at once
+	for _, seed := range []uint64{13, 14} { // commits become visible late on odd seeds, at once on even ones
 		check(t, func() (*Report, error) { return chainOf(seed, 2000) })
 	}
 }
 
-// TestHistory plays sessions judged by the values that they saw.
+// TestHistory plays sessions that are judged by the values that they saw.
 func TestHistory(t *testing.T) {
 	check(t, func() (*Report, error) { return History(14, NoPlant) })
 }
 
-// TestOverload sends ten times the load through real drivers; the simulated part has tests in lab/world.
+// TestOverload sends ten times the load through real drivers. The simulated part has tests in lab/world.
 func TestOverload(t *testing.T) {
 	if raceDetector {
-		t.Skip("ten times the load is more than the race detector lets through; the other days run under it")
+		t.Skip("ten times the load is too slow under the race detector; the other days run under it")
 	}
 	const tries = 3
 	for n := 1; n <= tries; n++ {
@@ -50,7 +50,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		why := voided(r)
+		why := voidReason(r)
 		if why == "" {
 			check(t, func() (*Report, error) { return r, nil })
 			return
@@ -60,13 +60,14 @@
 	t.Fatalf("all %d runs were void: nothing was shown", tries)
 }
 
-// stalled is how long a machine may keep ready work waiting and still count as having played the load.
-const stalled = 100 * time.Millisecond
+// maxStall is the longest time for which a machine may keep a ready goroutine waiting and still count as having
+// produced the load.
+const maxStall = 100 * time.Millisecond
 
-// voided tells why nothing can be said by an overload run: the machine did not play its load, and all that it fell short
-// of are amounts. The other rules hold at any speed, so that a break of one of them is never excused.
-func voided(r *Report) string {
-	if r.Broken() == 0 || r.Slack <= stalled || len(r.Leaks) > 0 {
+// voidReason returns why an overload run shows nothing: the machine did not produce the load, and only amounts fell
+// short. The other rules hold at any speed, so a break of one of them is never excused.
+func voidReason(r *Report) string {
+	if r.Broken() == 0 || r.Slack <= maxStall || len(r.Leaks) > 0 {
 		return ""
 	}
 	what := append([]string{}, r.Missing...)
@@ -76,10 +77,10 @@
 		}
 		what = append(what, rule.Broken...)
 	}
-	return fmt.Sprintf("ready work waited for %v, %v is allowed; %s", r.Slack.Round(time.Millisecond), stalled, strings.Join(what, "; "))
+	return fmt.Sprintf("a ready goroutine waited %v, at most %v is allowed; %s", r.Slack.Round(time.Millisecond), maxStall, strings.Join(what, "; "))
 }
 
-// TestVoidedRuns: only amounts that a stalled machine fell short of make a run void.
+// TestVoidedRuns checks that a run is void only if a stalled machine fell short of amounts.
 func TestVoidedRuns(t *testing.T) {
 	amount, other := &Rule{Name: liveGoodput, Broken: []string{"50 a second"}}, &Rule{Name: "no second effect", Broken: []string{"ran twice"}}
 	for _, c := range []struct {
@@ -87,14 +88,14 @@
 		r    Report
 		void bool
 	}{
-		{"nothing broke", Report{Slack: 3 * stalled}, false},
-		{"goodput, stalled", Report{Slack: 3 * stalled, Rules: []*Rule{amount}}, true},
-		{"goodput, not stalled", Report{Slack: stalled, Rules: []*Rule{amount}}, false},
-		{"too few answers, stalled", Report{Slack: 3 * stalled, Missing: []string{"400 refused"}}, true},
-		{"another rule, stalled", Report{Slack: 3 * stalled, Rules: []*Rule{amount, other}}, false},
-		{"a leak, stalled", Report{Slack: 3 * stalled, Leaks: []string{"a goroutine"}, Rules: []*Rule{amount}}, false},
+		{"nothing broke", Report{Slack: 3 * maxStall}, false},
+		{"goodput, stalled", Report{Slack: 3 * maxStall, Rules: []*Rule{amount}}, true},
+		{"goodput, not stalled", Report{Slack: maxStall, Rules: []*Rule{amount}}, false},
+		{"too few answers, stalled", Report{Slack: 3 * maxStall, Missing: []string{"400 refused"}}, true},
+		{"another rule, stalled", Report{Slack: 3 * maxStall, Rules: []*Rule{amount, other}}, false},
+		{"a leak, stalled", Report{Slack: 3 * maxStall, Leaks: []string{"a goroutine"}, Rules: []*Rule{amount}}, false},
 	} {
-		if got := voided(&c.r) != ""; got != c.void {
+		if got := voidReason(&c.r) != ""; got != c.void {
 			t.Errorf("%s: void %v", c.name, got)
 		}
 	}
@@ -121,7 +122,7 @@
 	}
 }
 
-// TestReplay writes a small day in the form of the users' bench, with kinds of trouble of every sort, and plays it.
+// TestReplay writes a small day file with several kinds of trouble and plays it.
 func TestReplay(t *testing.T) {
 	day := map[string]any{"site": "test", "kind": "trouble", "length": 40e6, "zones": []string{"north", "south"},
 		"traffic": map[string]any{"load": 0.5, "shape": [][2]float64{{0, 1}}}, "allow": map[string]any{"max_attempts": 6},
@@ -150,7 +151,7 @@
 		t.Errorf("faults: %s", faults)
 	}
 	for name, text := range map[string]string{"no JSON": "{", "no classes": "{}",
-		"strikes nobody": strings.Replace(string(text), `"on":[0]`, `"on":[99]`, 1)} {
+		"trouble on no server": strings.Replace(string(text), `"on":[0]`, `"on":[99]`, 1)} {
 		os.WriteFile(path, []byte(text), 0o600)
 		if _, err := Replay(path, 1); err == nil || !strings.Contains(err.Error(), path) {
 			t.Errorf("%s: %v", name, err)
@@ -158,11 +159,11 @@
 	}
 }
 
-// judged makes a fleet that served nothing, with the calls and statements given, and judges it.
+// judged judges the given calls and statements for a fleet that served nothing.
 func judged(t *testing.T, calls []Call, statements []standin.Statement, notices []Notice, starts []standin.Start) map[string]*Rule {
 	t.Helper()
 	f := &Fleet{Spec: Spec{Site: UsersSite(), Node: SmallNode}, Trace: standin.NewTrace(), notices: notices}
-	f.Drivers = []*Driver{{Name: "d", ended: []span{{time.Unix(0, 0), time.Unix(1000, 0)}}}}
+	f.Drivers = []*Driver{{Name: "d", pastLifetimes: []lifetime{{time.Unix(0, 0), time.Unix(1000, 0)}}}}
 	g := standin.NewGroup("news", time.Second, f.Trace)
 	f.Groups = []*standin.Group{g}
 	f.Trace.Replace(statements, starts)
@@ -175,7 +176,7 @@
 
 func sec(s float64) time.Time { return time.Unix(100, 0).Add(time.Duration(s * float64(time.Second))) }
 
-// TestJudgeSeesBrokenRules gives the judge traffic that breaks each rule, and its twin that doesn't.
+// TestJudgeSeesBrokenRules gives the judge traffic that breaks each rule and similar traffic that does not.
 func TestJudgeSeesBrokenRules(t *testing.T) {
 	site := UsersSite()
 	class := func(name string) *Class {
@@ -189,7 +190,7 @@
 	}
 	call := func(name string, v Verdict, answered float64) Call {
 		c := class(name)
-		return Call{Tag: "x", Class: c, Slice: "news", Driver: "d", Sent: sec(0), Answered: sec(answered), Wait: c.Deadline, Verdict: v}
+		return Call{Tag: "x", Class: c, Slice: "news", Driver: "d", Sent: sec(0), Answered: sec(answered), Timeout: c.Deadline, Verdict: v}
 	}
 	st := func(node string, arrived, ended float64, how func(*standin.Statement)) standin.Statement {
 		s := standin.Statement{Node: node, Driver: "d", Kind: standin.KindWrite, Tag: "x", Arrived: sec(arrived), Ended: sec(ended), Ran: true}
@@ -227,8 +228,8 @@
 		{"drains kept", "after the grace", true, nil, []standin.Statement{st("db1", 0.6, 0.7, nil)}, []Notice{{"d", "db1", balance.LifeDraining, sec(0)}}, nil},
 		{"drains kept", "gone after it drained", true, nil, []standin.Statement{st("db1", 0.6, 0.7, nil)}, []Notice{{"d", "db1", balance.LifeDraining, sec(0)}, {"d", "db1", balance.LifeGone, sec(0.5)}}, nil},
 		{"drains kept", "ready again", false, nil, []standin.Statement{st("db1", 1.6, 1.7, nil)}, []Notice{{"d", "db1", balance.LifeDraining, sec(0)}, {"d", "db1", balance.LifeReady, sec(1)}}, nil},
-		{"cold nodes spared", "pushed over", true, nil, burst, nil, []standin.Start{{Node: "db1", At: sec(0.1), Cold: true}}},
-		{"cold nodes spared", "spared", false, nil, burst[:20], nil, []standin.Start{{Node: "db1", At: sec(0.1), Cold: true}}},
+		{"cold nodes spared", "overloaded", true, nil, burst, nil, []standin.Start{{Node: "db1", At: sec(0.1), Cold: true}}},
+		{"cold nodes spared", "below its limit", false, nil, burst[:20], nil, []standin.Start{{Node: "db1", At: sec(0.1), Cold: true}}},
 	} {
 		r := judged(t, c.calls, c.sts, c.notices, c.starts)[c.rule]
 		if (len(r.Broken) > 0) != c.broken {
@@ -240,19 +241,19 @@
 	}
 }
 
-// TestTwoDriversBeforeOneColdNode: a replica starts anew under load from two drivers that don't speak to each
-// other; together they stay under what would push it over, and it does get work.
+// TestTwoDriversBeforeOneColdNode restarts a replica under load from two drivers that do not communicate. Together
+// they must stay below the load at which a cold node fails, and must send it work.
 func TestTwoDriversBeforeOneColdNode(t *testing.T) {
 	f, err := NewFleet(Spec{Slices: 1, Members: 3, Drivers: 2, Node: SmallNode, Seed: 4})
 	if err != nil {
 		t.Fatal(err)
 	}
-	ctx, end := context.WithCancel(t.Context())
+	ctx, cancel := context.WithCancel(t.Context())
 	d := newDay(ctx, f, rand.New(rand.NewPCG(4, 4)))
 	var clients sync.WaitGroup
 	for i := range 24 {
-		s := newSession(f, d.book, i, 0)
-		clients.Go(func() { s.live(ctx, 40*time.Millisecond) })
+		s := newSession(f, d.callLog, i, 0)
+		clients.Go(func() { s.run(ctx, 40*time.Millisecond) })
 	}
 	time.Sleep(500 * time.Millisecond)
 	cold := f.Groups[0].Nodes()[2]
@@ -260,10 +261,10 @@
 	time.Sleep(300 * time.Millisecond)
 	d.restart(cold)
 	time.Sleep(3 * time.Second)
-	end()
+	cancel()
 	clients.Wait()
 	f.Close()
-	r := Judge(f, d.book.Calls(), 50*time.Millisecond)[3]
+	r := Judge(f, d.callLog.Calls(), 50*time.Millisecond)[3]
 	if len(r.Broken) > 0 || r.Chances < 10 {
 		t.Errorf("%+v", r)
 	}
--- a/lab/live.go
+++ b/lab/live.go
@@ -22,55 +22,55 @@
 	"umberladder/standin"
 )
 
-// live is a world that is played on sockets: the same drivers, nodes, troubles and clients, in real time.
+// live is a simulated world played on sockets: the same drivers, nodes, troubles and clients, in real time.
 type live struct {
 	*day
-	cfg      world.Config
-	begin    time.Time
-	nodes    [][]*standin.Node
-	noticing *noticing
-	rogue    *rogue
+	cfg          world.Config
+	begin        time.Time
+	nodes        [][]*standin.Node
+	promotionLog *promotionLog
+	rogue        *rogue
 
-	bad, hot atomic.Int64 // shares, in thousandths: requests that fail by their own fault, and those that come to the first driver
+	badShare, hotShare atomic.Int64 // shares of requests, in thousandths: those that fail on every node, and those that go to the first driver
 
-	mu     sync.Mutex
-	load   float64   // times the usual rate
-	deaf   time.Time // until then drivers hear of no change of the list
-	paths  map[string]*livePath
-	idle   [][]*session // by driver
-	made   int
-	struck int
+	mu               sync.Mutex
+	load             float64   // multiple of the usual rate
+	listDelayedUntil time.Time // drivers get no changes of the list before
+	zonePaths        map[string]*zonePath
+	idle             [][]*session // by driver
+	created          int
+	troublesStruck   int
 }
 
-// livePath is what goes on between a hall and the others.
-type livePath struct {
-	extra time.Duration
-	until time.Time
-	lost  float64
+// zonePath is the state of the network between a zone and the others.
+type zonePath struct {
+	extra    time.Duration
+	cutUntil time.Time
+	lost     float64
 }
 
-// Live plays a world on loopback: stand-ins in the place of the model's nodes, whole drivers before them, gRPC clients.
-// Its figures are those of this machine and of stand-ins. What the world draws from its seed is drawn from it here too,
-// but no two runs are the same.
+// Live plays a world on loopback, with stand-ins as the nodes, whole drivers and gRPC clients. Its figures are
+// those of this machine and of stand-ins. It draws from the world's seed what the simulation draws, but no two runs
+// are the same. The error is that of starting the fleet.
 func Live(cfg world.Config) (*world.Result, error) {
 	l, err := startLive(cfg)
 	if err != nil {
 		return nil, err
 	}
-	time.Sleep(time.Second) // as in the world, clients come a second after their drivers
+	time.Sleep(time.Second) // as in the simulation, clients start a second after the drivers
 	for i := range cfg.Troubles {
 		t := cfg.Troubles[i]
 		rng := rand.New(rand.NewPCG(cfg.Seed, uint64(i)))
-		l.at(time.Until(l.begin.Add(t.At)), t.Kind.String(), func(context.Context) { l.strike(t, rng) })
+		l.schedule(time.Until(l.begin.Add(t.At)), t.Kind.String(), func(context.Context) { l.play(t, rng) })
 	}
 	switch {
 	case len(cfg.Played) > 0:
-		l.clients.Go(l.played)
+		l.clients.Go(l.replayRecorded)
 	case cfg.Think > 0:
-		l.thinkers()
+		l.closedLoop()
 	default:
 		for d := range l.fleet.Drivers {
-			l.clients.Go(func() { l.arrivals(d) })
+			l.clients.Go(func() { l.openLoop(d) })
 		}
 	}
 	l.clients.Wait()
@@ -78,11 +78,11 @@
 }
 
 func startLive(cfg world.Config) (*live, error) {
-	l := &live{cfg: cfg, noticing: &noticing{}, load: 1, paths: map[string]*livePath{}, idle: make([][]*session, cfg.Drivers)}
-	for _, hall := range cfg.Engine.Halls {
-		l.paths[hall] = &livePath{}
+	l := &live{cfg: cfg, promotionLog: &promotionLog{}, load: 1, zonePaths: map[string]*zonePath{}, idle: make([][]*session, cfg.Drivers)}
+	for _, zone := range cfg.Engine.Halls {
+		l.zonePaths[zone] = &zonePath{}
 	}
-	spec := Spec{Slices: cfg.Slices, Members: cfg.Members, Drivers: cfg.Drivers, Site: siteOf(&cfg), Halls: cfg.Engine.Halls, Node: nodeOf(&cfg), Seed: cfg.Seed, Log: l.noticing.logger()}
+	spec := Spec{Slices: cfg.Slices, Members: cfg.Members, Drivers: cfg.Drivers, Site: siteOf(&cfg), Zones: cfg.Engine.Halls, Node: nodeOf(&cfg), Seed: cfg.Seed, Log: l.promotionLog.logger()}
 	if cfg.Gate == nil {
 		spec.Extra = "admission on off\n"
 	}
@@ -94,7 +94,7 @@
 	for _, g := range l.fleet.Groups {
 		l.nodes = append(l.nodes, g.Nodes())
 		for _, n := range g.Nodes() {
-			n.Through(func(driver string) (time.Duration, float64) { return l.way(driver, n) })
+			n.Through(func(driver string) (time.Duration, float64) { return l.linkTo(driver, n) })
 			if cfg.Plant == world.PlantOld {
 				n.Old(plantedAge)
 			}
@@ -106,13 +106,13 @@
 
 const plantedAge = 5 * time.Second
 
-// siteOf is what drivers are told of classes and rules.
+// siteOf returns the classes and rules of a world.
 func siteOf(cfg *world.Config) Site {
 	r := &cfg.Engine.Router
 	site := Site{Grace: r.DrainGrace, Fall: r.Fall, Tip: r.TipMultiple, Margin: 50 * time.Millisecond}
 	for i, c := range r.Classes {
 		site.Classes = append(site.Classes, Class{Name: c.Name, Need: c.Need, Effect: c.Effect, Share: cfg.Shares[i], Target: c.Target, Deadline: c.Deadline, Bound: c.Bound,
-			Window: c.Window, Worth: c.Worth, Late: c.LateWorth})
+			Window: c.Window, Value: c.Worth, LateValue: c.LateWorth})
 	}
 	return site
 }
@@ -123,44 +123,44 @@
 		ColdFrom: r.ColdFrom, Ramp: r.RampTime}
 }
 
-// way is what becomes of what a driver and a node send each other now.
-func (l *live) way(driver string, n *standin.Node) (time.Duration, float64) {
-	d := l.fleet.named(driver)
+// linkTo returns the delay and the probability of loss between a driver and a node now.
+func (l *live) linkTo(driver string, n *standin.Node) (time.Duration, float64) {
+	d := l.fleet.driverNamed(driver)
 	if d == nil || d.Hall == n.Hall {
 		return l.cfg.Way, 0
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	takes, lost := max(l.cfg.Cross, l.cfg.Way), 0.0
-	for _, hall := range []string{d.Hall, n.Hall} {
-		p := l.paths[hall]
-		takes += p.extra + max(0, time.Until(p.until))
+	delay, lost := max(l.cfg.Cross, l.cfg.Way), 0.0
+	for _, zone := range []string{d.Hall, n.Hall} {
+		p := l.zonePaths[zone]
+		delay += p.extra + max(0, time.Until(p.cutUntil))
 		lost += p.lost
 	}
-	return takes, lost
+	return delay, lost
 }
 
-// arrivals sends the requests of one driver's clients, whether or not earlier ones were answered.
-func (l *live) arrivals(d int) {
+// openLoop sends the requests of one driver's clients, whether or not earlier ones were answered.
+func (l *live) openLoop(d int) {
 	rng := rand.New(rand.NewPCG(l.cfg.Seed, 1000+uint64(d)))
-	per := l.cfg.Rate / float64(l.cfg.Drivers)
+	driverRate := l.cfg.Rate / float64(l.cfg.Drivers)
 	end := l.begin.Add(l.cfg.Length)
 	for due := time.Now().Add(time.Duration(rng.Float64() * float64(time.Second))); due.Before(end); {
 		time.Sleep(time.Until(due))
 		seed, d := rng.Uint64(), d
-		if rng.IntN(1000) < int(l.hot.Load()) {
+		if rng.IntN(1000) < int(l.hotShare.Load()) {
 			d = 0
 		}
 		l.clients.Go(func() { l.request(d, rand.New(rand.NewPCG(l.cfg.Seed, seed))) })
 		l.mu.Lock()
-		now := per * l.load
+		rate := driverRate * l.load
 		l.mu.Unlock()
-		due = due.Add(time.Duration(rng.ExpFloat64() / now * float64(time.Second)))
+		due = due.Add(time.Duration(rng.ExpFloat64() / rate * float64(time.Second)))
 	}
 }
 
-// thinkers are sessions that wait for each answer and a while longer before they ask again.
-func (l *live) thinkers() {
+// closedLoop runs sessions that wait for each answer and a random think time before the next request.
+func (l *live) closedLoop() {
 	end := l.begin.Add(l.cfg.Length)
 	for i := range l.cfg.Sessions * l.cfg.Drivers {
 		rng := rand.New(rand.NewPCG(l.cfg.Seed, 5000+uint64(i)))
@@ -178,63 +178,63 @@
 	}
 }
 
-// played sends what was recorded, each request when it came then.
-func (l *live) played() {
+// replayRecorded sends the recorded requests at their recorded times.
+func (l *live) replayRecorded() {
 	classes, at := map[string]int{}, map[string]int{}
 	for i, c := range l.fleet.Spec.Site.Classes {
 		classes[c.Name] = i
 	}
 	for i, g := range l.fleet.Groups {
 		at[g.Name] = i
-		at[fmt.Sprintf("s%d", i)] = i // as the simulated world names it
+		at[fmt.Sprintf("s%d", i)] = i // its name in the simulation
 	}
 	rng := rand.New(rand.NewPCG(l.cfg.Seed, 7))
 	for i, a := range l.cfg.Played {
 		class, known := classes[a.Class]
-		where, there := at[a.Slice]
-		if !known || !there || a.At >= l.cfg.Length {
+		where, found := at[a.Slice]
+		if !known || !found || a.At >= l.cfg.Length {
 			continue
 		}
 		time.Sleep(time.Until(l.begin.Add(a.At)))
 		d, seed := i%l.cfg.Drivers, rng.Uint64()
 		l.clients.Go(func() {
-			s, _ := l.session(d, rand.New(rand.NewPCG(l.cfg.Seed, seed)))
-			l.asks(d, s, class, where)
+			s, _ := l.acquireSession(d, rand.New(rand.NewPCG(l.cfg.Seed, seed)))
+			l.issue(d, s, class, where)
 		})
 	}
 }
 
-// request is one request of a session that has nothing under way.
+// request sends one request of a session that has none in flight.
 func (l *live) request(d int, rng *rand.Rand) {
-	s, home := l.session(d, rng)
+	s, home := l.acquireSession(d, rng)
 	classes := l.fleet.Spec.Site.Classes
 	draw, class := rng.Float64(), 0
 	for ; class < len(classes)-1 && draw >= classes[class].Share; class++ {
 		draw -= classes[class].Share
 	}
-	at := rng.IntN(len(l.fleet.Groups))
+	slice := rng.IntN(len(l.fleet.Groups))
 	if v := l.cfg.Visits; v > 0 && v < len(l.fleet.Groups) {
-		at = (home + rng.IntN(v)) % len(l.fleet.Groups)
+		slice = (home + rng.IntN(v)) % len(l.fleet.Groups)
 	}
-	l.asks(d, s, class, at)
+	l.issue(d, s, class, slice)
 }
 
-// asks makes a request, with its further tries, and gives the session back.
-func (l *live) asks(d int, s *session, class, at int) {
+// issue sends a request and its retries and releases the session.
+func (l *live) issue(d int, s *session, class, slice int) {
 	c := &l.fleet.Spec.Site.Classes[class]
 	until := time.Now().Add(c.Deadline)
 	for try := 0; ; try++ {
 		left := time.Until(until)
-		call := s.try(l.ctx, l.alive(d), l.fleet.Groups[at].Name, c, 0, left, try)
+		call := s.tryCall(l.ctx, l.runningDriver(d), l.fleet.Groups[slice].Name, c, 0, left, try)
 		if call != nil {
-			l.rogue.twice(call)
+			l.rogue.repeatWrite(call)
 		}
 		if call == nil || call.Verdict != Refused || try+1 >= l.cfg.Tries {
 			break
 		}
 		wait := l.cfg.Pause
 		if wait == 0 {
-			wait = call.Advice
+			wait = call.RetryDelay
 		}
 		if wait >= time.Until(until) {
 			break
@@ -246,40 +246,40 @@
 	l.idle[d] = append(l.idle[d], s)
 }
 
-// session is one that has nothing under way, and the first of the slices that it uses.
-func (l *live) session(d int, rng *rand.Rand) (*session, int) {
+// acquireSession returns a session that has no request in flight and the index of the first slice that it uses.
+func (l *live) acquireSession(d int, rng *rand.Rand) (*session, int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if n := len(l.idle[d]); n > 0 && l.made >= l.cfg.Sessions*l.cfg.Drivers {
+	if n := len(l.idle[d]); n > 0 && l.created >= l.cfg.Sessions*l.cfg.Drivers {
 		i := rng.IntN(n)
 		s := l.idle[d][i]
 		l.idle[d][i] = l.idle[d][n-1]
 		l.idle[d] = l.idle[d][:n-1]
 		return s, s.home
 	}
-	s := newSession(l.fleet, l.book, l.made, 0)
-	s.bad = &l.bad
-	s.home, s.sparing, s.client = l.made, true, fmt.Sprintf("s%d", l.made)
+	s := newSession(l.fleet, l.callLog, l.created, 0)
+	s.badShare = &l.badShare
+	s.home, s.carriesTokenIfRequired, s.clientName = l.created, true, fmt.Sprintf("s%d", l.created)
 	if l.cfg.Plant == world.PlantSilent {
 		s.plant = LostAnswers
 	}
-	l.made++
+	l.created++
 	return s, s.home
 }
 
-// alive is the driver of a number or, while it is dead, the next one that is not.
-func (l *live) alive(d int) *Driver {
+// runningDriver returns driver d or, while it does not run, the next one that does.
+func (l *live) runningDriver(d int) *Driver {
 	for i := range l.fleet.Drivers {
-		if next := l.fleet.Drivers[(d+i)%len(l.fleet.Drivers)]; next.running() != nil {
+		if next := l.fleet.Drivers[(d+i)%len(l.fleet.Drivers)]; next.runningServer() != nil {
 			return next
 		}
 	}
 	return l.fleet.Drivers[d]
 }
 
-// result is the run in the world's terms.
+// result converts the run to the simulation's result.
 func (l *live) result(r *Report) *world.Result {
-	res := &world.Result{Took: map[string]*hdrhistogram.Histogram{}, Causes: map[string]int{}, Tried: map[string]int{}, Struck: l.struck}
+	res := &world.Result{Took: map[string]*hdrhistogram.Histogram{}, Causes: map[string]int{}, Tried: map[string]int{}, Struck: l.troublesStruck}
 	for _, rule := range r.Rules {
 		res.Tried[rule.Name] = rule.Chances
 		for _, b := range rule.Broken {
@@ -289,10 +289,10 @@
 	for _, leak := range r.Leaks {
 		res.Broken = append(res.Broken, "leak: "+leak)
 	}
-	calls := l.book.Calls()
+	calls := l.callLog.Calls()
 	slices.SortFunc(calls, func(a, b Call) int { return a.Sent.Compare(b.Sent) })
 	for i := range calls {
-		l.count(res, &calls[i])
+		l.addCall(res, &calls[i])
 	}
 	for _, s := range l.fleet.Trace.Statements() {
 		if s.Kind == standin.KindFacts {
@@ -304,15 +304,15 @@
 	for _, g := range l.fleet.Groups {
 		for _, at := range g.Promotions() {
 			res.Promotions++
-			res.Noticed = append(res.Noticed, l.noticing.after(g.Name, at)...)
+			res.Noticed = append(res.Noticed, l.promotionLog.delays(g.Name, at)...)
 		}
 	}
-	l.record(calls, r)
+	l.writeRows(calls, r)
 	return res
 }
 
-// count adds a call to the figures.
-func (l *live) count(res *world.Result, c *Call) {
+// addCall adds a call to the figures.
+func (l *live) addCall(res *world.Result, c *Call) {
 	class := c.Class
 	res.Requests++
 	window := func(sums *[]float64, at time.Time, v float64) {
@@ -323,7 +323,7 @@
 		(*sums)[i] += v
 	}
 	if c.Try == 0 {
-		window(&res.Asked, c.Sent, class.Worth)
+		window(&res.Asked, c.Sent, class.Value)
 	} else {
 		res.Again++
 	}
@@ -331,12 +331,12 @@
 	case Served:
 		res.Served++
 		took := c.Answered.Sub(c.Sent)
-		worth := class.Worth * class.Late
-		if c.Class.Deadline-c.Wait+took <= c.Class.Target {
+		value := class.Value * class.LateValue
+		if c.Class.Deadline-c.Timeout+took <= c.Class.Target {
 			res.InTarget++
-			worth = class.Worth
+			value = class.Value
 		}
-		window(&res.Worth, c.Answered, worth)
+		window(&res.Worth, c.Answered, value)
 		h := res.Took[c.Class.Name]
 		if h == nil {
 			h = hdrhistogram.New(1, 60_000_000, 3)
@@ -348,56 +348,56 @@
 		}
 	case Refused:
 		res.Refused++
-		res.Causes[c.Class.Name+": "+cut(c.Text)]++
+		res.Causes[c.Class.Name+": "+causeOf(c.Text)]++
 	case Failed:
 		res.Failed++
-		res.Causes[c.Class.Name+": "+cut(c.Text)]++
+		res.Causes[c.Class.Name+": "+causeOf(c.Text)]++
 	default:
 		res.Orphaned++
 	}
 }
 
-// cut is the part of a text that is the same for all requests.
-func cut(text string) string {
+// causeOf returns the part of a message that is the same for all requests.
+func causeOf(text string) string {
 	text = strings.TrimPrefix(text, "refused, nothing ran: ")
 	head, _, _ := strings.Cut(text, ":")
 	return head
 }
 
-// noticing notes when drivers say that the primary of a slice is another.
-type noticing struct {
-	mu   sync.Mutex
-	said []notice
+// promotionLog records when drivers log a new primary of a slice.
+type promotionLog struct {
+	mu      sync.Mutex
+	changes []primaryChange
 }
 
-type notice struct {
+type primaryChange struct {
 	at            time.Time
 	driver, slice string
 }
 
-// listening is a logger that hands every line to take, and writes none.
-func listening(take func(e zapcore.Entry)) *zap.Logger {
+// hookedLogger returns a logger that passes every entry to observe and writes none.
+func hookedLogger(observe func(e zapcore.Entry)) *zap.Logger {
 	core := zapcore.NewCore(zapcore.NewJSONEncoder(zapcore.EncoderConfig{}), zapcore.AddSync(io.Discard), zapcore.InfoLevel)
-	return zap.New(core, zap.Hooks(func(e zapcore.Entry) error { take(e); return nil }))
+	return zap.New(core, zap.Hooks(func(e zapcore.Entry) error { observe(e); return nil }))
 }
 
-func (n *noticing) logger() *zap.Logger {
-	return listening(func(e zapcore.Entry) {
+func (n *promotionLog) logger() *zap.Logger {
+	return hookedLogger(func(e zapcore.Entry) {
 		if rest, ok := strings.CutPrefix(e.Message, "primary of slice "); ok {
 			name, _, _ := strings.Cut(rest, " ")
 			n.mu.Lock()
 			defer n.mu.Unlock()
-			n.said = append(n.said, notice{e.Time, e.LoggerName, name})
+			n.changes = append(n.changes, primaryChange{e.Time, e.LoggerName, name})
 		}
 	})
 }
 
-// after is how long after a promotion each driver first said that it knew.
-func (n *noticing) after(slice string, promoted time.Time) (all []time.Duration) {
+// delays returns, for each driver, the time from a promotion to its first log message about the slice's primary.
+func (n *promotionLog) delays(slice string, promoted time.Time) (all []time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	seen := map[string]bool{}
-	for _, s := range n.said {
+	for _, s := range n.changes {
 		if s.slice == slice && s.at.After(promoted) && !seen[s.driver] {
 			seen[s.driver] = true
 			all = append(all, s.at.Sub(promoted))
@@ -406,8 +406,8 @@
 	return all
 }
 
-// record hands on every call and every statement that came of it.
-func (l *live) record(calls []Call, r *Report) {
+// writeRows passes every call and each of its statements to Config.Record.
+func (l *live) writeRows(calls []Call, r *Report) {
 	if l.cfg.Record == nil {
 		return
 	}
@@ -420,45 +420,45 @@
 	for _, s := range l.fleet.Trace.Starts() {
 		l.cfg.Record(&record.Row{Kind: record.KindStart, Node: s.Node, Sent: s.At.Sub(l.begin).Nanoseconds(), Ended: record.Never})
 	}
-	halls := map[string]string{}
+	zones := map[string]string{}
 	for _, nodes := range l.nodes {
 		for _, n := range nodes {
-			halls[n.Name] = n.Hall
+			zones[n.Name] = n.Hall
 		}
 	}
 	for i := range calls {
 		c := &calls[i]
-		row := l.row(c, r)
+		row := l.requestRow(c, r)
 		row.Attempt = int32(len(byTag[c.Tag]))
-		row.Hall = halls[row.Node]
+		row.Hall = zones[row.Node]
 		l.cfg.Record(&row)
 		for k, s := range byTag[c.Tag] {
-			one := row
-			one.Kind, one.Attempt, one.Node, one.Hall, one.Driver = record.KindAttempt, int32(k+1), s.Node, halls[s.Node], s.Driver
-			one.Sent, one.Ended, one.Worth, one.Asked, one.Cause, one.Broken = s.Arrived.Sub(l.begin).Nanoseconds(), record.Never, 0, 0, "", ""
+			attempt := row
+			attempt.Kind, attempt.Attempt, attempt.Node, attempt.Hall, attempt.Driver = record.KindAttempt, int32(k+1), s.Node, zones[s.Node], s.Driver
+			attempt.Sent, attempt.Ended, attempt.Worth, attempt.Asked, attempt.Cause, attempt.Broken = s.Arrived.Sub(l.begin).Nanoseconds(), record.Never, 0, 0, "", ""
 			if !s.Ended.IsZero() {
-				one.Ended = s.Ended.Sub(l.begin).Nanoseconds()
+				attempt.Ended = s.Ended.Sub(l.begin).Nanoseconds()
 			}
-			if one.Outcome, one.Role = "failed", "primary"; s.Ran {
-				one.Outcome = "served"
+			if attempt.Outcome, attempt.Role = "failed", "primary"; s.Ran {
+				attempt.Outcome = "served"
 			} else if s.Code != "" {
-				one.Outcome = "error " + s.Code
+				attempt.Outcome = "error " + s.Code
 			}
 			if s.Replica {
-				one.Role = "replica"
+				attempt.Role = "replica"
 			}
-			one.Timeline, one.LSN = int32(s.Position.Timeline), int64(s.Position.LSN)
-			l.cfg.Record(&one)
+			attempt.Timeline, attempt.LSN = int32(s.Position.Timeline), int64(s.Position.LSN)
+			l.cfg.Record(&attempt)
 		}
 	}
 }
 
-// row is a call as a row.
-func (l *live) row(c *Call, r *Report) record.Row {
+// requestRow returns the row of a call.
+func (l *live) requestRow(c *Call, r *Report) record.Row {
 	row := record.Row{Kind: record.KindRequest, Request: c.Tag, Class: c.Class.Name, Slice: c.Slice, Session: c.Session, Driver: c.Driver, Try: int32(c.Try),
-		Sent: c.Sent.Sub(l.begin).Nanoseconds(), Ended: c.Answered.Sub(l.begin).Nanoseconds(), Outcome: c.Verdict.String(), Cause: cut(c.Text)}
+		Sent: c.Sent.Sub(l.begin).Nanoseconds(), Ended: c.Answered.Sub(l.begin).Nanoseconds(), Outcome: c.Verdict.String(), Cause: causeOf(c.Text)}
 	if c.Try == 0 {
-		row.Asked = c.Class.Worth
+		row.Asked = c.Class.Value
 	}
 	for _, t := range l.cfg.Troubles {
 		from := l.begin.Add(t.At)
@@ -471,9 +471,9 @@
 		if c.Served.GetRole() == pb.Role_ROLE_PRIMARY {
 			row.Role = "primary"
 		}
-		row.Worth = c.Class.Worth
-		if c.Class.Deadline-c.Wait+c.Answered.Sub(c.Sent) > c.Class.Target {
-			row.Worth *= c.Class.Late
+		row.Worth = c.Class.Value
+		if c.Class.Deadline-c.Timeout+c.Answered.Sub(c.Sent) > c.Class.Target {
+			row.Worth *= c.Class.LateValue
 		}
 	}
 	for _, rule := range r.Rules {
--- a/lab/live_test.go
+++ b/lab/live_test.go
@@ -9,7 +9,7 @@
 	"umberladder/lab/world"
 )
 
-// shortWorld is a few seconds with a drain, a primary that dies and a slow replica.
+// shortWorld runs for a few seconds with a drain, a primary crash and a slow replica.
 func shortWorld(seed uint64) world.Config {
 	cfg := world.Newsroom(2, 1, 4, 90, 7*time.Second)
 	cfg.Seed, cfg.Cores, cfg.Work, cfg.Elect, cfg.Notice, cfg.Tries = seed, 1, 10*time.Millisecond, 500*time.Millisecond, 200*time.Millisecond, 2
@@ -24,13 +24,13 @@
 	return cfg
 }
 
-// TestLive plays a world on sockets, clean and with each planted fault: its rule's judge finds it, none finds anything
-// without one, and the rows that were recorded add up to the figures.
+// TestLive plays a world on sockets, without and with each planted fault. The judges must find each planted fault
+// and nothing without one, and the recorded rows must add up to the figures.
 func TestLive(t *testing.T) {
 	for _, name := range world.PlantNames() {
 		t.Run(name, func(t *testing.T) {
 			if raceDetector && name != "none" {
-				t.Skip("six runs at once are more than the race detector lets through in time")
+				t.Skip("six parallel runs are too slow under the race detector")
 			}
 			t.Parallel()
 			cfg := shortWorld(31)
@@ -56,7 +56,7 @@
 				t.Fatal(err)
 			}
 			found := strings.Count("\n"+strings.Join(r.Broken, "\n"), "\n"+cfg.Plant.Breaks()+":")
-			// Runs beside each other share what counts goroutines, so what that says is left out here.
+			// Parallel runs share the process's goroutine count, so that breaks by it don't count here.
 			others := 0
 			for _, b := range r.Broken {
 				if !strings.HasPrefix(b, "leak: ") || !strings.Contains(b, "goroutines") {
@@ -65,7 +65,7 @@
 			}
 			switch {
 			case cfg.Plant == world.NoPlant && others > 0:
-				t.Errorf("nothing was planted: %v", r.Broken)
+				t.Errorf("breaks without a planted fault: %v", r.Broken)
 			case cfg.Plant != world.NoPlant && found == 0:
 				t.Errorf("%q was not found among %v", cfg.Plant.Breaks(), r.Broken)
 			}
--- a/lab/nodefile.go
+++ b/lab/nodefile.go
@@ -14,37 +14,40 @@
 	"umberladder/settings"
 )
 
-// noticeFile is how long a file must stand unchanged for every driver to count as told of what it says.
-const noticeFile = 600 * time.Millisecond
+// fileNoticeDelay is the time for which a file must be unchanged until every driver counts as notified of its
+// content.
+const fileNoticeDelay = 600 * time.Millisecond
 
-// nodeFile is an inventory that drivers follow, written in one of several forms and ways, and spoilt on wish.
+// nodeFile is an inventory file that drivers follow. It is written in several formats and ways, and corrupted on
+// request.
 type nodeFile struct {
 	dir  string
 	path string
 
-	mu    sync.Mutex
-	rng   *rand.Rand
-	nodes []settings.Node
-	text  string // as it should stand
-	holds int    // so many spoil it now; what is written meanwhile comes to light after
-	swaps int
-	gen   int                         // how often its content changed
-	there func(nodes []settings.Node) // it may be read from now on
-	stood func(nodes []settings.Node) // every driver has read it
-}
-
-// landed takes note that what the file should say is there. Called with the lock held.
-func (f *nodeFile) landed() {
-	f.gen++
-	gen, nodes := f.gen, f.nodes
-	if f.there != nil {
-		f.there(nodes)
+	mu           sync.Mutex
+	rng          *rand.Rand
+	nodes        []settings.Node
+	text         string // valid content
+	replacements int    // running calls of replaceWhile, which defer writes until they end
+	replaceCount int
+	generation   int                         // number of changes of the content
+	onReadable   func(nodes []settings.Node) // called when drivers may read the content
+	onNoticed    func(nodes []settings.Node) // called when every driver has read the content
+}
+
+// markPublished calls onReadable now and onNoticed after fileNoticeDelay, unless the file changes before. The caller
+// holds mu.
+func (f *nodeFile) markPublished() {
+	f.generation++
+	generation, nodes := f.generation, f.nodes
+	if f.onReadable != nil {
+		f.onReadable(nodes)
 	}
-	time.AfterFunc(noticeFile, func() {
+	time.AfterFunc(fileNoticeDelay, func() {
 		f.mu.Lock()
 		defer f.mu.Unlock()
-		if f.gen == gen && f.stood != nil {
-			f.stood(nodes)
+		if f.generation == generation && f.onNoticed != nil {
+			f.onNoticed(nodes)
 		}
 	})
 }
@@ -63,7 +66,7 @@
 	return dir
 }
 
-// write puts the nodes into the file: as a list or in Ansible's form, by rename, at once or in pieces.
+// write puts the nodes into the file, as a list or in Ansible's format: by rename, by one write or in pieces.
 func (f *nodeFile) write(nodes []settings.Node) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -71,28 +74,28 @@
 	if f.rng.IntN(2) == 0 {
 		f.text = ansibleOf(nodes)
 	}
-	if f.holds > 0 {
+	if f.replacements > 0 {
 		return
 	}
-	defer f.landed()
+	defer f.markPublished()
 	switch f.rng.IntN(3) {
 	case 0:
-		f.rename(f.text)
+		f.replace(f.text)
 	case 1:
 		os.WriteFile(f.path, []byte(f.text), 0o600)
 	default:
-		f.pieces(f.text)
+		f.writeInPieces(f.text)
 	}
 }
 
-func (f *nodeFile) rename(text string) {
-	f.swaps++
+func (f *nodeFile) replace(text string) {
+	f.replaceCount++
 	if os.WriteFile(f.path+".new", []byte(text), 0o600) == nil {
 		os.Rename(f.path+".new", f.path)
 	}
 }
 
-func (f *nodeFile) pieces(text string) {
+func (f *nodeFile) writeInPieces(text string) {
 	file, err := os.Create(f.path)
 	if err != nil {
 		return
@@ -106,38 +109,38 @@
 	}
 }
 
-// spoil puts something else in the file's place for a while.
-func (f *nodeFile) spoil(what func(text string) string, wait func()) {
-	f.hold(func() { f.rename(what(f.text)) }, wait)
+// corrupt replaces the content until wait returns.
+func (f *nodeFile) corrupt(change func(text string) string, wait func()) {
+	f.replaceWhile(func() { f.replace(change(f.text)) }, wait)
 }
 
-// vanish takes the file away for a while.
-func (f *nodeFile) vanish(wait func()) {
-	f.hold(func() { os.Remove(f.path) }, wait)
+// remove removes the file until wait returns.
+func (f *nodeFile) remove(wait func()) {
+	f.replaceWhile(func() { os.Remove(f.path) }, wait)
 }
 
-// hold does something to the file, and after the wait puts it right again, unless somebody else holds it still.
-func (f *nodeFile) hold(do, wait func()) {
+// replaceWhile calls do and wait, and then restores the valid content, unless another call is still running.
+func (f *nodeFile) replaceWhile(do, wait func()) {
 	f.mu.Lock()
-	f.holds++
-	f.gen++
+	f.replacements++
+	f.generation++
 	do()
 	f.mu.Unlock()
 	wait()
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.holds--; f.holds == 0 {
-		f.rename(f.text)
-		f.landed()
+	if f.replacements--; f.replacements == 0 {
+		f.replace(f.text)
+		f.markPublished()
 	}
 }
 
-// swap replaces the file by itself many times, pausing while it is spoilt.
-func (f *nodeFile) swap(ctx context.Context, times int) {
+// replaceRepeatedly replaces the file with its own content many times, pausing while it is corrupted.
+func (f *nodeFile) replaceRepeatedly(ctx context.Context, times int) {
 	for n := 0; n < times && ctx.Err() == nil; {
 		f.mu.Lock()
-		if f.holds == 0 {
-			f.rename(f.text)
+		if f.replacements == 0 {
+			f.replace(f.text)
 			n++
 		}
 		f.mu.Unlock()
--- a/lab/overload.go
+++ b/lab/overload.go
@@ -12,16 +12,18 @@
 	"umberladder/standin"
 )
 
-// slowNode is a stand-in that a few hundred requests a second overload ten times.
+// slowNode is a stand-in whose capacity a few hundred requests a second exceed ten times.
 var slowNode = standin.Config{Cores: 1, Read: 25 * time.Millisecond, Write: 12 * time.Millisecond, Ship: 5 * time.Millisecond,
 	Apply: time.Millisecond, MaxConns: 200, ColdFrom: 0.2, Ramp: 2 * time.Second}
 
-// usualRate is about nine tenths of what a slice of four slow nodes can do of the users' mix, a second.
+// usualRate, in requests a second, is about nine tenths of what a slice of four slow nodes can serve of the users'
+// mix.
 const usualRate = 110
 
-// Overload plays loads of up to ten times what the nodes can do. In simulated time it compares the gate with none and
-// with a fixed one, and an outage with clients that try again at once, with and without budgets. Live, clients that do
-// not wait for answers send ten times the usual load through real drivers, and the five rules are judged by the traffic.
+// Overload plays loads of up to ten times what the nodes can serve. In simulated time it compares the admission
+// gate with none and with a fixed one, and an outage whose clients retry at once, with and without retry budgets.
+// On sockets, an open-loop load of ten times the usual rate passes through real drivers, and the five rules are
+// judged by the traffic.
 func Overload(seed uint64) (*Report, error) {
 	sim, lines, err := overloadSimulated(seed)
 	if err != nil {
@@ -33,34 +35,34 @@
 	}
 	r.Rules = append(r.Rules, sim.rules()...)
 	r.Notes = append(lines, r.Notes...)
-	if !sim.shown {
+	if !sim.harmShown {
 		r.Missing = append(r.Missing, "without gate and budgets the outage made no loop late and left no overload")
 	}
 	return r, nil
 }
 
-// simulated is what the simulated part came to.
+// simulated is the outcome of the simulated part.
 type simulated struct {
-	goodput, settled, kept Rule
-	shown                  bool // that without gate and budget an outage does harm
+	goodput, loadEnds, simulatedRules Rule
+	harmShown                         bool // without gate and budgets an outage makes the loop late or leaves an overload
 }
 
 func (s *simulated) rules() []*Rule {
-	s.goodput.Name, s.settled.Name, s.kept.Name = "goodput holds", "load ends", "simulated rules"
-	return []*Rule{&s.goodput, &s.settled, &s.kept}
+	s.goodput.Name, s.loadEnds.Name, s.simulatedRules.Name = "goodput holds", "load ends", "simulated rules"
+	return []*Rule{&s.goodput, &s.loadEnds, &s.simulatedRules}
 }
 
-func (s *simulated) take(l *world.Load) {
-	s.settled.Chances++
+func (s *simulated) check(l *world.Load) {
+	s.loadEnds.Chances++
 	if l.Late() {
-		s.settled.Break("simulated, the loop came too late %d times: %v", l.Result.Overdue, l)
+		s.loadEnds.Break("simulated, the loop was late %d times: %v", l.Result.Overdue, l)
 	}
 	if !l.Settled() {
-		s.settled.Break("simulated, two seconds after its end: %v", l)
+		s.loadEnds.Break("simulated, two seconds after its end: %v", l)
 	}
-	s.kept.Chances += l.Result.Requests
+	s.simulatedRules.Chances += l.Result.Requests
 	for _, b := range l.Result.Broken {
-		s.kept.Break("simulated, %.1f times the load: %s", l.Times, b)
+		s.simulatedRules.Break("simulated, %.1f times the load: %s", l.Times, b)
 	}
 }
 
@@ -69,7 +71,7 @@
 	none, gate := arms[0], arms[len(arms)-1]
 	best := 0.0
 	var lines []string
-	var under []*world.Load
+	var gated []*world.Load
 	play := func(arm world.Arm, times float64) error {
 		l, err := world.Under(seed, arm, times)
 		if err != nil {
@@ -78,8 +80,8 @@
 		best = max(best, l.During)
 		lines = append(lines, "simulated: "+l.String())
 		if arm.Name == gate.Name {
-			under = append(under, l)
-			s.take(l)
+			gated = append(gated, l)
+			s.check(l)
 		}
 		return nil
 	}
@@ -93,41 +95,41 @@
 			return nil, nil, err
 		}
 	}
-	for _, l := range under {
+	for _, l := range gated {
 		if l.Times < 2 {
 			continue
 		}
 		if s.goodput.Chances++; l.During < 0.9*best {
-			s.goodput.Break("simulated, %.0f a second are earned, %.0f at best: %v", l.During, best, l)
+			s.goodput.Break("simulated, goodput is %.0f a second, the best is %.0f: %v", l.During, best, l)
 		}
 	}
-	bare, err := world.Outage(seed, none, 0)
+	ungated, err := world.Outage(seed, none, 0)
 	if err != nil {
 		return nil, nil, err
 	}
-	kept, err := world.Outage(seed, gate, 0.1)
+	budgeted, err := world.Outage(seed, gate, 0.1)
 	if err != nil {
 		return nil, nil, err
 	}
-	s.take(kept)
-	s.shown = bare.Late() || !bare.Settled()
-	lines = append(lines, fmt.Sprintf("simulated outage, no budgets: %v", bare), fmt.Sprintf("simulated outage, budgets: %v", kept))
+	s.check(budgeted)
+	s.harmShown = ungated.Late() || !ungated.Settled()
+	lines = append(lines, fmt.Sprintf("simulated outage, no budgets: %v", ungated), fmt.Sprintf("simulated outage, budgets: %v", budgeted))
 	return s, lines, nil
 }
 
-// crowd sends requests at a rate, whether or not earlier ones were answered. Each goes out under a session that has
-// nothing under way.
-type crowd struct {
-	fleet *Fleet
-	book  *Book
-	mu    sync.Mutex
-	idle  []*session
-	made  int
-	calls *sync.WaitGroup
-	late  atomic.Int64 // by how much the crowd itself was late at most, ns
+// openLoop sends requests at a given rate, whether or not earlier ones were answered. Each request uses a session
+// that has none in flight.
+type openLoop struct {
+	fleet   *Fleet
+	callLog *CallLog
+	mu      sync.Mutex
+	idle    []*session
+	created int
+	calls   *sync.WaitGroup
+	late    atomic.Int64 // longest delay of the generator itself, in nanoseconds
 }
 
-func (c *crowd) session() *session {
+func (c *openLoop) acquire() *session {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if n := len(c.idle); n > 0 {
@@ -135,30 +137,30 @@
 		c.idle = c.idle[:n-1]
 		return s
 	}
-	c.made++
-	s := newSession(c.fleet, c.book, c.made, 0)
-	s.client = fmt.Sprintf("app%d", c.made%20)
+	c.created++
+	s := newSession(c.fleet, c.callLog, c.created, 0)
+	s.clientName = fmt.Sprintf("app%d", c.created%20)
 	return s
 }
 
-func (c *crowd) back(s *session) {
+func (c *openLoop) release(s *session) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.idle = append(c.idle, s)
 }
 
-// send goes on for a time, times spread as those of many clients are.
-func (c *crowd) send(ctx context.Context, rng *rand.Rand, rate float64, lasts time.Duration) {
-	end := time.Now().Add(lasts)
+// send runs for the given time, with exponentially distributed intervals.
+func (c *openLoop) send(ctx context.Context, rng *rand.Rand, rate float64, duration time.Duration) {
+	end := time.Now().Add(duration)
 	for due := time.Now(); due.Before(end); due = due.Add(time.Duration(rng.ExpFloat64() / rate * float64(time.Second))) {
 		time.Sleep(time.Until(due))
 		if late := int64(time.Since(due)); late > c.late.Load() {
 			c.late.Store(late)
 		}
-		s := c.session()
+		s := c.acquire()
 		c.calls.Go(func() {
-			s.once(ctx)
-			c.back(s)
+			s.callRandom(ctx)
+			c.release(s)
 		})
 	}
 }
@@ -168,44 +170,45 @@
 	if err != nil {
 		return nil, err
 	}
-	c := &crowd{fleet: d.fleet, book: d.book, calls: &d.clients}
+	c := &openLoop{fleet: d.fleet, callLog: d.callLog, calls: &d.clients}
 	begin := time.Now()
-	var marks []time.Duration
+	var phases []time.Duration
 	for _, phase := range []struct {
-		times float64
-		lasts time.Duration
+		times    float64
+		duration time.Duration
 	}{{1, 2500 * time.Millisecond}, {10, 3500 * time.Millisecond}, {1, 3500 * time.Millisecond}} {
-		marks = append(marks, time.Since(begin))
-		c.send(d.ctx, d.rng, usualRate*phase.times, phase.lasts)
+		phases = append(phases, time.Since(begin))
+		c.send(d.ctx, d.rng, usualRate*phase.times, phase.duration)
 	}
-	marks = append(marks, time.Since(begin))
-	d.struck("load of ten times")
+	phases = append(phases, time.Since(begin))
+	d.countFault("load of ten times")
 	c.calls.Wait()
-	r, calls := d.finish(), d.book.Calls()
+	r, calls := d.finish(), d.callLog.Calls()
 	r.Missing = nil // there are neither drains nor cold starts here
-	usual, over, after := earned(calls, begin, marks[0]+time.Second, marks[1]), earned(calls, begin, marks[1]+500*time.Millisecond, marks[2]), earned(calls, begin, marks[2]+2*time.Second, marks[3])
+	usual, overloaded, after := valueRate(calls, begin, phases[0]+time.Second, phases[1]), valueRate(calls, begin, phases[1]+500*time.Millisecond, phases[2]), valueRate(calls, begin, phases[2]+2*time.Second, phases[3])
 	r.Notes = append(r.Notes, fmt.Sprintf("live: worth a second at the usual load %.0f, at ten times %.0f, from two seconds after it %.0f; the crowd itself was late by %v at most",
-		usual, over, after, time.Duration(c.late.Load()).Round(time.Millisecond)))
-	held := &Rule{Name: liveGoodput, Chances: 1}
-	if over < 0.7*usual {
-		held.Break("%.0f a second at ten times the load, %.0f at the usual one", over, usual)
+		usual, overloaded, after, time.Duration(c.late.Load()).Round(time.Millisecond)))
+	rule := &Rule{Name: liveGoodput, Chances: 1}
+	if overloaded < 0.7*usual {
+		rule.Break("%.0f a second at ten times the load, %.0f at the usual one", overloaded, usual)
 	}
-	r.Rules = append(r.Rules, held)
+	r.Rules = append(r.Rules, rule)
 	if r.Counts[Refused] < 500 || r.Counts[Served] < 500 {
 		r.Missing = append(r.Missing, fmt.Sprintf("%d refused and %d served", r.Counts[Refused], r.Counts[Served]))
 	}
 	return r, nil
 }
 
-// liveGoodput is the rule that goodput before real drivers holds under ten times the load.
+// liveGoodput is the rule that goodput through real drivers holds under ten times the load.
 const liveGoodput = "live goodput"
 
-// earned is the worth a second of what was asked for between two times and served within its target.
-func earned(calls []Call, begin time.Time, from, to time.Duration) (sum float64) {
+// valueRate returns the value per second of the requests that were sent between two times and served within their
+// targets.
+func valueRate(calls []Call, begin time.Time, from, to time.Duration) (sum float64) {
 	for i := range calls {
 		c := &calls[i]
 		if at := c.Sent.Sub(begin); at >= from && at < to && c.Verdict == Served && c.Answered.Sub(c.Sent) <= c.Class.Target {
-			sum += c.Class.Worth
+			sum += c.Class.Value
 		}
 	}
 	return sum / (to - from).Seconds()
--- a/lab/replay.go
+++ b/lab/replay.go
@@ -14,51 +14,52 @@
 	"umberladder/standin"
 )
 
-// Replay plays a day of the users' bench through real drivers: its classes, slices and troubles, with fewer
-// machines and in ten seconds. The five rules are judged as on the bad day; figures are not the bench's.
+// Replay plays a day of the users' benchmark through real drivers: its classes, slices and troubles, with fewer
+// machines and in ten seconds. It judges the five rules as BadDay does. Its figures do not compare with the
+// benchmark's.
 func Replay(path string, seed uint64) (*Report, error) {
 	file, err := readDay(path)
 	if err != nil {
 		return nil, err
 	}
 	before := runtime.NumGoroutine()
-	p, err := newPlay(file, seed)
+	p, err := newReplayRun(file, seed)
 	if err != nil {
 		return nil, err
 	}
-	ctx, end := context.WithCancel(context.Background())
-	defer end()
-	stalls := StallMeter(ctx)
+	ctx, cancel := context.WithCancel(context.Background())
+	defer cancel()
+	maxStall := StallMeter(ctx)
 	p.ctx = ctx
 	var clients sync.WaitGroup
 	const sessions = 60
 	for i := range sessions {
-		s := newSession(p.fleet, p.book, i, 0.01)
-		s.bad, s.hot = &p.bad, &p.hot
-		clients.Go(func() { p.live(ctx, s, sessions) })
+		s := newSession(p.fleet, p.callLog, i, 0.01)
+		s.badShare, s.hotShare = &p.badShare, &p.hotShare
+		clients.Go(func() { p.runSession(ctx, s, sessions) })
 	}
 	var skipped []string
 	for i := range file.Troubles {
-		if !p.trouble(&file.Troubles[i]) {
+		if !p.playTrouble(&file.Troubles[i]) {
 			skipped = append(skipped, file.Troubles[i].Kind)
 		}
 	}
 	time.Sleep(time.Duration(replaySeconds * float64(time.Second)))
-	end()
+	cancel()
 	clients.Wait()
 	p.troubles.Wait()
 	closing := p.fleet.Close()
-	slack := 30*time.Millisecond + 4*time.Duration(stalls.Load())
+	slack := 30*time.Millisecond + 4*time.Duration(maxStall.Load())
 	r := &Report{Name: fmt.Sprintf("%s day of %s, %d of %d nodes, %d of %d drivers", file.Kind, file.Site, len(p.scaled.servers),
 		len(file.Servers), len(p.fleet.Drivers), len(file.Balancers)), Seed: seed, Slack: slack,
-		Rules: Judge(p.fleet, p.book.Calls(), slack)}
-	r.fill(p.day, before, closing)
-	r.Missing = nil // what a day holds is up to whoever drew it
+		Rules: Judge(p.fleet, p.callLog.Calls(), slack)}
+	r.addChecks(p.day, before, closing)
+	r.Missing = nil // the day file decides which occasions there are
 	if r.Counts[Served] == 0 {
 		r.Missing = append(r.Missing, "no request served")
 	}
 	if len(p.faults) == 0 && len(skipped) < len(file.Troubles) {
-		r.Missing = append(r.Missing, "no trouble of the day struck")
+		r.Missing = append(r.Missing, "no trouble of the day was played")
 	}
 	for _, s := range skipped {
 		r.Faults = append(r.Faults, s+" (not played)")
@@ -66,28 +67,28 @@
 	return r, nil
 }
 
-// play is a replay under way.
-type play struct {
+// replayRun is a running replay.
+type replayRun struct {
 	*day
-	file   *dayFile
-	scaled *shrink
-	rate   float64      // requests a second of all clients
-	surge  atomic.Int64 // what the rate is multiplied by now, in thousandths
-	bad    atomic.Int64 // share of requests that fail at any node, in thousandths
-	hot    atomic.Int64 // share of requests that the first driver gets beyond its part, in thousandths
-	muted  atomic.Bool  // the list is out of reach
+	file          *dayFile
+	scaled        *scaledDay
+	rate          float64      // requests a second of all clients
+	loadFactor    atomic.Int64 // multiplier of the rate, in thousandths
+	badShare      atomic.Int64 // share of requests that fail on every node, in thousandths
+	hotShare      atomic.Int64 // share of requests that go to the first driver in addition to its part, in thousandths
+	discoveryDown atomic.Bool  // set and never read
 }
 
-func newPlay(file *dayFile, seed uint64) (*play, error) {
-	p := &play{file: file, scaled: file.scale(), rate: replayRate * file.Traffic.Load * 0.9}
-	p.surge.Store(1000)
+func newReplayRun(file *dayFile, seed uint64) (*replayRun, error) {
+	p := &replayRun{file: file, scaled: file.scale(), rate: replayRate * file.Traffic.Load * 0.9}
+	p.loadFactor.Store(1000)
 	s := p.scaled
-	halls := file.Zones
-	if len(halls) == 0 {
-		halls = []string{"hall"}
+	zones := file.Zones
+	if len(zones) == 0 {
+		zones = []string{"hall"}
 	}
 	extra := fmt.Sprintf("attempts limit %d\n", max(1, min(255, file.Allow.MaxAttempts)))
-	f, err := NewFleet(Spec{Site: file.site(), Halls: halls, Node: file.node(s), Drivers: min(replayDrivers, len(file.Balancers)),
+	f, err := NewFleet(Spec{Site: file.site(), Zones: zones, Node: file.node(s), Drivers: min(replayDrivers, len(file.Balancers)),
 		Extra: extra, Seed: seed, Layout: p.layout()})
 	if err != nil {
 		return nil, err
@@ -103,15 +104,15 @@
 	return p, nil
 }
 
-// layout names the nodes of each slice, the primary first, with their halls.
-func (p *play) layout() (slices [][]Place) {
+// layout returns the names and zones of each slice's nodes, the primary first.
+func (p *replayRun) layout() (slices [][]Place) {
 	for _, cell := range p.scaled.cells {
 		var places []Place
 		for i, srv := range p.file.Servers {
 			if srv.Cell != cell || !srv.Up {
 				continue
 			}
-			place := Place{Name: fmt.Sprintf("db%d", i), Hall: p.file.Zones[srv.Zone]}
+			place := Place{Name: fmt.Sprintf("db%d", i), Zone: p.file.Zones[srv.Zone]}
 			if cell < len(p.file.Fam.Primary) && p.file.Fam.Primary[cell] == i {
 				places = append([]Place{place}, places...)
 			} else {
@@ -123,13 +124,13 @@
 	return slices
 }
 
-// live is a session whose pauses follow the day's rate.
-func (p *play) live(ctx context.Context, s *session, sessions int) {
+// runSession makes the calls of one session, with pauses that follow the day's rate.
+func (p *replayRun) runSession(ctx context.Context, s *session, sessions int) {
 	begin := time.Now()
 	for ctx.Err() == nil {
-		s.once(ctx)
+		s.callRandom(ctx)
 		at := time.Since(begin).Seconds() / replaySeconds
-		rate := p.rate * p.shape(at) * float64(p.surge.Load()) / 1000
+		rate := p.rate * p.loadShape(at) * float64(p.loadFactor.Load()) / 1000
 		pause := time.Duration(s.rng.ExpFloat64() * float64(sessions) / max(rate, 1) * float64(time.Second))
 		select {
 		case <-time.After(min(pause, time.Second)):
@@ -138,8 +139,8 @@
 	}
 }
 
-// shape is the day's own swing of the load at a part of its length.
-func (p *play) shape(at float64) float64 {
+// loadShape returns the day's own load factor at a fraction of its length.
+func (p *replayRun) loadShape(at float64) float64 {
 	v := 1.0
 	for _, point := range p.file.Traffic.Shape {
 		if point[0] <= at {
@@ -149,8 +150,8 @@
 	return v
 }
 
-// struckNodes are the played nodes that a trouble strikes.
-func (p *play) struckNodes(t *dayTrouble) (nodes []*standin.Node) {
+// affectedNodes returns the replayed nodes that a trouble affects.
+func (p *replayRun) affectedNodes(t *dayTrouble) (nodes []*standin.Node) {
 	for _, i := range t.On {
 		if n := p.scaled.nodes[i]; n != nil {
 			nodes = append(nodes, n)
@@ -159,7 +160,7 @@
 	return nodes
 }
 
-func (p *play) allNodes() (nodes []*standin.Node) {
+func (p *replayRun) allNodes() (nodes []*standin.Node) {
 	for _, i := range p.scaled.servers {
 		if n := p.scaled.nodes[i]; n != nil {
 			nodes = append(nodes, n)
@@ -168,126 +169,126 @@
 	return nodes
 }
 
-// trouble plays one trouble, false for a kind that it doesn't know.
-func (p *play) trouble(t *dayTrouble) bool {
-	lasts := max(300*time.Millisecond, p.scaled.span(t.Len))
+// playTrouble schedules one trouble. It returns false for an unknown kind.
+func (p *replayRun) playTrouble(t *dayTrouble) bool {
+	duration := max(300*time.Millisecond, p.scaled.span(t.Len))
 	seconds := func(v float64) time.Duration { return p.scaled.span(v * 1e6) }
 	each := func(on, off func(n *standin.Node)) func(context.Context) {
-		nodes := p.struckNodes(t)
+		nodes := p.affectedNodes(t)
 		return func(context.Context) {
 			for _, n := range nodes {
 				on(n)
 			}
-			p.wait(lasts)
+			p.sleep(duration)
 			for _, n := range nodes {
 				off(n)
 			}
 		}
 	}
 	during := func(on, off func()) func(context.Context) {
-		return func(context.Context) { on(); p.wait(lasts); off() }
+		return func(context.Context) { on(); p.sleep(duration); off() }
 	}
-	var play func(context.Context)
+	var action func(context.Context)
 	switch t.Kind {
 	case "crash", "hang":
-		for _, n := range p.struckNodes(t) {
-			p.at(p.scaled.span(t.At), t.Kind, func(context.Context) { p.outage(n, t.Kind == "hang", lasts) })
+		for _, n := range p.affectedNodes(t) {
+			p.schedule(p.scaled.span(t.At), t.Kind, func(context.Context) { p.outage(n, t.Kind == "hang", duration) })
 		}
 		return true
 	case "ageing":
-		for _, n := range p.struckNodes(t) {
-			p.at(p.scaled.span(t.At), t.Kind, func(context.Context) {
+		for _, n := range p.affectedNodes(t) {
+			p.schedule(p.scaled.span(t.At), t.Kind, func(context.Context) {
 				const steps = 10
 				for i := range steps {
 					n.Slow(1 + (t.Size-1)*float64(i+1)/steps)
-					p.wait(lasts / steps)
+					p.sleep(duration / steps)
 				}
 				p.outage(n, false, max(300*time.Millisecond, seconds(t.Extra)))
 			})
 		}
 		return true
 	case "pauses":
-		play = p.repeat(lasts, max(200*time.Millisecond, seconds(t.Extra)), func() {
-			for _, n := range p.struckNodes(t) {
+		action = p.repeat(duration, max(200*time.Millisecond, seconds(t.Extra)), func() {
+			for _, n := range p.affectedNodes(t) {
 				n.Stall(time.Duration(t.Size * float64(time.Millisecond)))
 			}
 		})
 	case "neighbour":
 		slow := 1 / max(0.05, 1-t.Size)
-		play = p.repeat(lasts, max(200*time.Millisecond, 2*seconds(t.Extra)), func() {
-			for _, n := range p.struckNodes(t) {
+		action = p.repeat(duration, max(200*time.Millisecond, 2*seconds(t.Extra)), func() {
+			for _, n := range p.affectedNodes(t) {
 				n.Slow(slow)
 			}
-			p.wait(max(100*time.Millisecond, seconds(t.Extra)))
-			for _, n := range p.struckNodes(t) {
+			p.sleep(max(100*time.Millisecond, seconds(t.Extra)))
+			for _, n := range p.affectedNodes(t) {
 				n.Slow(1)
 			}
 		})
 	case "replica_lag":
-		play = each(func(n *standin.Node) { n.Lag(20 * t.Size) }, func(n *standin.Node) { n.Lag(1) })
+		action = each(func(n *standin.Node) { n.Lag(20 * t.Size) }, func(n *standin.Node) { n.Lag(1) })
 	case "idle_reap":
-		play = each(func(n *standin.Node) { n.Reap(max(100*time.Millisecond, seconds(t.Size))) }, func(n *standin.Node) { n.Reap(0) })
+		action = each(func(n *standin.Node) { n.Reap(max(100*time.Millisecond, seconds(t.Size))) }, func(n *standin.Node) { n.Reap(0) })
 	case "handshake_slow":
-		play = each(func(n *standin.Node) { n.Greet(100 * time.Millisecond) }, func(n *standin.Node) { n.Greet(0) })
+		action = each(func(n *standin.Node) { n.Greet(100 * time.Millisecond) }, func(n *standin.Node) { n.Greet(0) })
 	case "conn_squeeze":
-		play = each(func(n *standin.Node) { n.Cap(4) }, func(n *standin.Node) { n.Cap(0) })
+		action = each(func(n *standin.Node) { n.Cap(4) }, func(n *standin.Node) { n.Cap(0) })
 	case "shared_slow":
-		play = during(func() { p.slowAll(t.Size) }, func() { p.slowAll(1) })
+		action = during(func() { p.slowAll(t.Size) }, func() { p.slowAll(1) })
 	case "slow_link":
-		play = during(func() { p.link(t) }, func() { p.unlink() })
+		action = during(func() { p.slowLink(t) }, func() { p.restoreLink() })
 	case "burst":
-		play = during(func() { p.surge.Store(int64(1000 * t.Size)) }, func() { p.surge.Store(1000) })
+		action = during(func() { p.loadFactor.Store(int64(1000 * t.Size)) }, func() { p.loadFactor.Store(1000) })
 	case "bad_requests":
-		play = during(func() { p.bad.Store(int64(1000 * t.Size)) }, func() { p.bad.Store(0) })
+		action = during(func() { p.badShare.Store(int64(1000 * t.Size)) }, func() { p.badShare.Store(0) })
 	case "hot_caller":
-		play = during(func() { p.hot.Store(int64(1000 * t.Size)) }, func() { p.hot.Store(0) })
+		action = during(func() { p.hotShare.Store(int64(1000 * t.Size)) }, func() { p.hotShare.Store(0) })
 	case "discovery_down":
-		play = during(func() { p.muted.Store(true) }, func() { p.muted.Store(false) })
+		action = during(func() { p.discoveryDown.Store(true) }, func() { p.discoveryDown.Store(false) })
 	case "wrong_list":
-		play = func(context.Context) { p.shrinkList(t, lasts) }
+		action = func(context.Context) { p.listWrongly(t, duration) }
 	case "balancer_crash":
-		play = func(context.Context) { p.killDrivers(t.On, lasts) }
+		action = func(context.Context) { p.killDrivers(t.On, duration) }
 	case "balancer_roll", "preempt":
 		p.steps(t)
 		return true
 	default:
 		return false
 	}
-	p.at(p.scaled.span(t.At), t.Kind, play)
+	p.schedule(p.scaled.span(t.At), t.Kind, action)
 	return true
 }
 
-// repeat does something again and again while a trouble lasts.
-func (p *play) repeat(lasts, every time.Duration, do func()) func(context.Context) {
+// repeat returns a trouble that calls do at intervals for the given time.
+func (p *replayRun) repeat(duration, interval time.Duration, do func()) func(context.Context) {
 	return func(ctx context.Context) {
-		for end := time.Now().Add(lasts); time.Now().Before(end) && ctx.Err() == nil; {
+		for end := time.Now().Add(duration); time.Now().Before(end) && ctx.Err() == nil; {
 			do()
-			p.wait(every)
+			p.sleep(interval)
 		}
 	}
 }
 
-// outage is a node that dies or hangs for a while. A primary is replaced, and one that hung is ended before it
-// can go on, as its slice has another by then.
-func (p *play) outage(n *standin.Node, hang bool, lasts time.Duration) {
+// outage kills or hangs a node for a while. A primary is replaced. If it hung, it is killed before it can continue,
+// because its slice has another primary by then.
+func (p *replayRun) outage(n *standin.Node, hang bool, duration time.Duration) {
 	g := n.Group()
-	p.locks[g].Lock()
-	defer p.locks[g].Unlock()
+	p.promotionLocks[g].Lock()
+	defer p.promotionLocks[g].Unlock()
 	if hang {
 		n.Hang(true)
 	} else {
 		n.Die()
 	}
-	notice := min(lasts, max(300*time.Millisecond, p.scaled.span(p.file.Fam.Detect+p.file.Fam.Elect)))
+	detection := min(duration, max(300*time.Millisecond, p.scaled.span(p.file.Fam.Detect+p.file.Fam.Elect)))
 	replaced := false
-	if p.wait(notice); g.Primary() == n {
+	if p.sleep(detection); g.Primary() == n {
 		if next := g.MostAdvanced(); next != nil {
 			g.Promote(next)
-			p.struck("promotion")
+			p.countFault("promotion")
 			replaced = true
 		}
 	}
-	if p.wait(lasts - notice); hang && !replaced {
+	if p.sleep(duration - detection); hang && !replaced {
 		n.Hang(false)
 		return
 	}
@@ -295,24 +296,24 @@
 	p.restart(n)
 }
 
-func (p *play) slowAll(times float64) {
+func (p *replayRun) slowAll(factor float64) {
 	for _, n := range p.allNodes() {
-		n.Slow(times)
+		n.Slow(factor)
 	}
 }
 
-// link makes the way between one hall and the others slow and lossy.
-func (p *play) link(t *dayTrouble) {
-	least := p.fleet.Spec.Site.Classes[0].Target
+// slowLink makes the network between one zone and the others slow and lossy.
+func (p *replayRun) slowLink(t *dayTrouble) {
+	minTarget := p.fleet.Spec.Site.Classes[0].Target
 	for _, c := range p.fleet.Spec.Site.Classes {
-		least = min(least, c.Target)
+		minTarget = min(minTarget, c.Target)
 	}
-	delay := time.Duration(t.Size * float64(least))
-	cut := p.file.Zones[min(max(t.Which, 0), len(p.file.Zones)-1)]
+	delay := time.Duration(t.Size * float64(minTarget))
+	slowZone := p.file.Zones[min(max(t.Which, 0), len(p.file.Zones)-1)]
 	for _, n := range p.allNodes() {
-		hall := n.Hall
+		nodeZone := n.Hall
 		n.Through(func(driver string) (time.Duration, float64) {
-			if d := p.fleet.named(driver); d != nil && d.Hall != hall && (d.Hall == cut || hall == cut) {
+			if d := p.fleet.driverNamed(driver); d != nil && d.Hall != nodeZone && (d.Hall == slowZone || nodeZone == slowZone) {
 				return delay, t.Extra
 			}
 			return 0, 0
@@ -320,50 +321,50 @@
 	}
 }
 
-func (p *play) unlink() {
+func (p *replayRun) restoreLink() {
 	for _, n := range p.allNodes() {
 		n.Through(nil)
 	}
 }
 
-// shrinkList lists nodes as gone that are there, and later as they are.
-func (p *play) shrinkList(t *dayTrouble, lasts time.Duration) {
+// listWrongly lists running nodes as gone and later restores the list.
+func (p *replayRun) listWrongly(t *dayTrouble, duration time.Duration) {
 	wrong := map[string]bool{}
-	for _, n := range p.struckNodes(t) {
+	for _, n := range p.affectedNodes(t) {
 		wrong[n.Name] = true
 	}
-	set := func(life balance.Life) {
-		p.fleet.List(func(n *settings.Node) {
+	setLife := func(life balance.Life) {
+		p.fleet.UpdateNodes(func(n *settings.Node) {
 			if wrong[n.Name] {
 				n.Life = life
 			}
 		})
 	}
-	set(balance.LifeGone)
-	p.wait(lasts)
-	set(balance.LifeReady)
+	setLife(balance.LifeGone)
+	p.sleep(duration)
+	setLife(balance.LifeReady)
 }
 
-func (p *play) killDrivers(on []int, lasts time.Duration) {
-	var some []*Driver
+func (p *replayRun) killDrivers(on []int, duration time.Duration) {
+	var killed []*Driver
 	for _, i := range on {
-		some = append(some, p.fleet.Drivers[i%len(p.fleet.Drivers)])
+		killed = append(killed, p.fleet.Drivers[i%len(p.fleet.Drivers)])
 	}
-	for _, d := range some {
+	for _, d := range killed {
 		d.Kill()
 	}
-	p.wait(lasts)
-	for _, d := range some {
-		if d.running() == nil {
+	p.sleep(duration)
+	for _, d := range killed {
+		if d.runningServer() == nil {
 			p.fleet.Start(d)
 		}
 	}
 }
 
-// steps plays a trouble that comes in steps: drivers restarted in turn, or nodes replaced after a notice.
-func (p *play) steps(t *dayTrouble) {
+// steps schedules a trouble that consists of steps: drivers restarted in turn, or nodes replaced after a notice.
+func (p *replayRun) steps(t *dayTrouble) {
 	for _, step := range t.Steps {
-		p.at(p.scaled.span(step.At), t.Kind, func(context.Context) {
+		p.schedule(p.scaled.span(step.At), t.Kind, func(context.Context) {
 			if t.Kind == "balancer_roll" {
 				p.killDrivers(step.Stop, max(100*time.Millisecond, p.scaled.span(t.Extra*1e6)))
 				return
@@ -377,29 +378,29 @@
 	}
 }
 
-// replaceNode drains a node, ends it, and brings another in, cold and from a copy that lacks the newest.
-func (p *play) replaceNode(n *standin.Node, name string, notice time.Duration) {
+// replaceNode drains and kills a node and adds a cold one whose log lacks the newest records.
+func (p *replayRun) replaceNode(n *standin.Node, name string, notice time.Duration) {
 	g := n.Group()
-	p.locks[g].Lock()
-	defer p.locks[g].Unlock()
-	set := func(life balance.Life) {
-		p.fleet.List(func(l *settings.Node) {
+	p.promotionLocks[g].Lock()
+	defer p.promotionLocks[g].Unlock()
+	setLife := func(life balance.Life) {
+		p.fleet.UpdateNodes(func(l *settings.Node) {
 			if l.Name == n.Name {
 				l.Life = life
 			}
 		})
 	}
-	set(balance.LifeDraining)
-	p.wait(notice / 2)
+	setLife(balance.LifeDraining)
+	p.sleep(notice / 2)
 	if g.Primary() == n {
 		if next := g.MostAdvanced(); next != nil {
 			g.Promote(next)
-			p.struck("promotion")
+			p.countFault("promotion")
 		}
 	}
-	p.wait(notice / 2)
+	p.sleep(notice / 2)
 	n.Die()
-	set(balance.LifeGone)
+	setLife(balance.LifeGone)
 	fresh, err := g.AddColdNode(name, n.Hall, p.fleet.Spec.Node, 20)
 	if err != nil {
 		return
--- a/lab/topology.go
+++ b/lab/topology.go
@@ -16,20 +16,20 @@
 	"umberladder/standin"
 )
 
-// Topology plays promotions at random for some ten seconds: old primaries that die, that stand still and wake with writes
-// in their buffers, that never notice; promotions twice within a second; two claimants of one timeline; a node of another
-// cluster under a used address; a clock that jumps; a link of one hall that loses polls; a list that lacks the new
-// primary. It is judged by what reached the nodes.
+// Topology plays random promotions for about ten seconds and judges them by what reached the nodes. Old primaries
+// crash, or hang and continue with writes in their buffers, or never notice the promotion. Two promotions come
+// within a second, two nodes claim one timeline, a node of another cluster answers at a listed address, a clock
+// jumps, the link of one zone loses polls, and the list lacks the new primary.
 func Topology(seed uint64) (*Report, error) {
-	journal := &journal{}
-	d, err := startDay("topology", Spec{Slices: 3, Members: 4, Drivers: 3, Node: SmallNode, Seed: seed, Log: journal.logger(), Extra: "tokens history on\n"}, 0x746f70)
+	log := &topologyLog{}
+	d, err := startDay("topology", Spec{Slices: 3, Members: 4, Drivers: 3, Node: SmallNode, Seed: seed, Log: log.logger(), Extra: "tokens history on\n"}, 0x746f70)
 	if err != nil {
 		return nil, err
 	}
-	p := &promotions{day: d, journal: journal, back: map[string][]time.Time{}}
+	p := &promotions{day: d, log: log, rejoinedAt: map[string][]time.Time{}}
 	for i := range 36 {
-		s := newSession(d.fleet, d.book, i, 0.01)
-		d.clients.Go(func() { s.live(d.ctx, 30*time.Millisecond) })
+		s := newSession(d.fleet, d.callLog, i, 0.01)
+		d.clients.Go(func() { s.run(d.ctx, 30*time.Millisecond) })
 	}
 	for _, g := range d.fleet.Groups {
 		p.script(g)
@@ -41,24 +41,24 @@
 	return r, nil
 }
 
-// promotions is the day's promotions, as they were made.
+// promotions records the promotions of a day.
 type promotions struct {
 	*day
-	mu      sync.Mutex
-	made    []promotion
-	back    map[string][]time.Time // by node, when it was made a replica again
-	splits  []split
-	journal *journal
+	mu          sync.Mutex
+	performed   []promotion
+	rejoinedAt  map[string][]time.Time // by node, when it became a replica again
+	falseClaims []falseClaim
+	log         *topologyLog
 }
 
-// journal keeps what drivers told their operators of topology.
-type journal struct {
+// topologyLog collects the drivers' log messages on topology.
+type topologyLog struct {
 	mu    sync.Mutex
 	lines []string
 }
 
-func (j *journal) logger() *zap.Logger {
-	return listening(func(e zapcore.Entry) {
+func (j *topologyLog) logger() *zap.Logger {
+	return hookedLogger(func(e zapcore.Entry) {
 		if strings.HasPrefix(e.Message, "topology of slice") || strings.HasPrefix(e.Message, "primary of slice") {
 			j.mu.Lock()
 			defer j.mu.Unlock()
@@ -72,203 +72,203 @@
 	g.Rejoin(n)
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.back[n.Name] = append(p.back[n.Name], time.Now())
+	p.rejoinedAt[n.Name] = append(p.rejoinedAt[n.Name], time.Now())
 }
 
-// promotion is one: from when on, which node was deposed and which one took its place.
+// promotion is one change of a slice's primary.
 type promotion struct {
-	group    *standin.Group
-	at       time.Time
-	old, now string
-	timeline uint32
-	lives    bool // the old one went on
-	omitted  bool // the list lacked the new one
+	group        *standin.Group
+	at           time.Time
+	old, next    string
+	timeline     uint32
+	oldContinues bool // the old primary kept running
+	newUnlisted  bool // the list lacked the new primary
 }
 
-// split is a time in which two nodes claimed one timeline.
-type split struct {
+// falseClaim is a time in which a node claimed a timeline or a cluster that is not its own.
+type falseClaim struct {
 	group    *standin.Group
 	from, to time.Time
-	usurper  string
+	node     string
 }
 
-// script draws what happens to a slice, one after the other.
+// script schedules the events of a slice, one after the other.
 func (p *promotions) script(g *standin.Group) {
-	kinds := []func(*standin.Group, time.Duration){p.dies, p.stands, p.staysOn, p.twice, p.omitted, p.jumps}
+	kinds := []func(*standin.Group, time.Duration){p.oldCrashes, p.oldHangs, p.oldContinues, p.promotedTwice, p.newPrimaryUnlisted, p.clockJumps}
 	p.rng.Shuffle(len(kinds), func(a, b int) { kinds[a], kinds[b] = kinds[b], kinds[a] })
-	others := []func(*standin.Group, time.Duration){p.usurped, p.stranger, p.polls}
-	other := others[p.rng.IntN(len(others))]
-	at := p.span(700*time.Millisecond, 1400*time.Millisecond)
+	peers := []func(*standin.Group, time.Duration){p.duplicateClaim, p.otherCluster, p.lossyLink}
+	peer := peers[p.rng.IntN(len(peers))]
+	at := p.randomDuration(700*time.Millisecond, 1400*time.Millisecond)
 	for i, kind := range kinds[:3] {
-		lasts := p.span(200*time.Millisecond, 900*time.Millisecond)
-		p.at(at, "promotion planned", func(context.Context) { p.alone(g, func() { kind(g, lasts) }) })
-		if at += p.span(2200*time.Millisecond, 2600*time.Millisecond); i == 0 {
-			lasts := p.span(500*time.Millisecond, 900*time.Millisecond)
-			p.at(at-800*time.Millisecond, "odd peer planned", func(context.Context) { p.alone(g, func() { other(g, lasts) }) })
+		duration := p.randomDuration(200*time.Millisecond, 900*time.Millisecond)
+		p.schedule(at, "promotion planned", func(context.Context) { p.exclusively(g, func() { kind(g, duration) }) })
+		if at += p.randomDuration(2200*time.Millisecond, 2600*time.Millisecond); i == 0 {
+			duration := p.randomDuration(500*time.Millisecond, 900*time.Millisecond)
+			p.schedule(at-800*time.Millisecond, "odd peer planned", func(context.Context) { p.exclusively(g, func() { peer(g, duration) }) })
 		}
 	}
 }
 
-// alone has one thing at a time happen to a slice.
-func (p *promotions) alone(g *standin.Group, do func()) {
-	p.locks[g].Lock()
-	defer p.locks[g].Unlock()
+// exclusively runs one event at a time for a slice.
+func (p *promotions) exclusively(g *standin.Group, do func()) {
+	p.promotionLocks[g].Lock()
+	defer p.promotionLocks[g].Unlock()
 	if p.ctx.Err() == nil {
 		do()
 	}
 }
 
-// promote makes the most advanced replica primary and takes it down.
-func (p *promotions) promote(g *standin.Group, lives bool) bool {
+// promote makes the most advanced replica primary and records it. It returns false if no replica runs.
+func (p *promotions) promote(g *standin.Group, oldContinues bool) bool {
 	old, next := g.Primary(), g.MostAdvanced()
 	if next == nil {
 		return false
 	}
 	g.Promote(next)
-	p.struck("promotion")
+	p.countFault("promotion")
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.made = append(p.made, promotion{g, time.Now(), old.Name, next.Name, next.Stands().Timeline, lives, false})
+	p.performed = append(p.performed, promotion{g, time.Now(), old.Name, next.Name, next.Stands().Timeline, oldContinues, false})
 	return true
 }
 
-// dies: the old primary is gone when the new one comes, and comes back as a replica.
-func (p *promotions) dies(g *standin.Group, lasts time.Duration) {
+// oldCrashes: the old primary has crashed before the promotion and restarts as a replica.
+func (p *promotions) oldCrashes(g *standin.Group, duration time.Duration) {
 	old := g.Primary()
 	old.Die()
-	p.wait(lasts)
+	p.sleep(duration)
 	p.promote(g, false)
-	p.wait(lasts)
+	p.sleep(duration)
 	p.restart(old)
 }
 
-// stands: the old primary stands still, with writes in its buffers, another is promoted, and it wakes as primary of the
-// timeline that was left.
-func (p *promotions) stands(g *standin.Group, lasts time.Duration) {
+// oldHangs: the old primary hangs with writes in its buffers, a replica is promoted, and the old primary continues
+// as primary of the superseded timeline.
+func (p *promotions) oldHangs(g *standin.Group, duration time.Duration) {
 	old := g.Primary()
 	old.Hang(true)
-	p.struck("primary stood still")
-	p.wait(lasts + 800*time.Millisecond)
+	p.countFault("primary stood still")
+	p.sleep(duration + 800*time.Millisecond)
 	p.promote(g, true)
-	p.wait(lasts / 4)
+	p.sleep(duration / 4)
 	old.Hang(false)
-	p.struck("old primary woke")
-	p.wait(500 * time.Millisecond)
+	p.countFault("old primary woke")
+	p.sleep(500 * time.Millisecond)
 	p.rejoin(g, old)
 }
 
-// staysOn: the old primary never notices, until somebody makes it a replica.
-func (p *promotions) staysOn(g *standin.Group, lasts time.Duration) {
+// oldContinues: the old primary does not notice the promotion until it is made a replica.
+func (p *promotions) oldContinues(g *standin.Group, duration time.Duration) {
 	old := g.Primary()
 	if p.promote(g, true) {
-		p.struck("old primary went on")
+		p.countFault("old primary went on")
 	}
-	p.wait(lasts + 300*time.Millisecond)
+	p.sleep(duration + 300*time.Millisecond)
 	p.rejoin(g, old)
 }
 
-// twice: two promotions within a second.
-func (p *promotions) twice(g *standin.Group, lasts time.Duration) {
+// promotedTwice: two promotions follow within a second.
+func (p *promotions) promotedTwice(g *standin.Group, duration time.Duration) {
 	first := g.Primary()
 	p.promote(g, true)
-	p.wait(lasts / 2)
+	p.sleep(duration / 2)
 	second := g.Primary()
 	p.promote(g, true)
-	p.struck("promotions within a second")
-	p.wait(lasts)
+	p.countFault("promotions within a second")
+	p.sleep(duration)
 	p.rejoin(g, first)
 	p.rejoin(g, second)
 }
 
-// omitted: the list lacks the new primary for a while.
-func (p *promotions) omitted(g *standin.Group, lasts time.Duration) {
+// newPrimaryUnlisted: the list lacks the new primary for a while.
+func (p *promotions) newPrimaryUnlisted(g *standin.Group, duration time.Duration) {
 	old := g.Primary()
 	old.Die()
-	p.wait(lasts / 2)
+	p.sleep(duration / 2)
 	p.promote(g, false)
 	next := g.Primary()
-	p.life(next.Name, balance.LifeGone)
-	p.struck("list without the new primary")
+	p.setLife(next.Name, balance.LifeGone)
+	p.countFault("list without the new primary")
 	p.mu.Lock()
-	if n := len(p.made); n > 0 && p.made[n-1].now == next.Name {
-		p.made[n-1].omitted = true
+	if n := len(p.performed); n > 0 && p.performed[n-1].next == next.Name {
+		p.performed[n-1].newUnlisted = true
 	}
 	p.mu.Unlock()
-	p.wait(lasts)
-	p.life(next.Name, balance.LifeReady)
+	p.sleep(duration)
+	p.setLife(next.Name, balance.LifeReady)
 	p.restart(old)
 }
 
-func (p *promotions) life(name string, life balance.Life) {
-	p.fleet.List(func(n *settings.Node) {
+func (p *promotions) setLife(name string, life balance.Life) {
+	p.fleet.UpdateNodes(func(n *settings.Node) {
 		if n.Name == name {
 			n.Life = life
 		}
 	})
 }
 
-// jumps: the clock of the primary jumps forth and back around a promotion that it does not notice.
-func (p *promotions) jumps(g *standin.Group, lasts time.Duration) {
+// clockJumps: the clock of the primary jumps forward, and back after a promotion that it does not notice.
+func (p *promotions) clockJumps(g *standin.Group, duration time.Duration) {
 	old := g.Primary()
 	old.Jump(time.Hour)
-	p.struck("clock jumped")
-	p.wait(lasts / 2)
+	p.countFault("clock jumped")
+	p.sleep(duration / 2)
 	p.promote(g, true)
 	old.Jump(-time.Hour)
-	p.wait(lasts)
+	p.sleep(duration)
 	p.rejoin(g, old)
 }
 
-// usurped: a replica takes itself for the primary of the present timeline for a while.
-func (p *promotions) usurped(g *standin.Group, lasts time.Duration) {
-	p.odd(g, lasts, "two claimed one timeline", g.Usurp)
+// duplicateClaim: a replica claims for a while to be the primary of the present timeline.
+func (p *promotions) duplicateClaim(g *standin.Group, duration time.Duration) {
+	p.impersonate(g, duration, "two claimed one timeline", g.Usurp)
 }
 
-// stranger: a node of another cluster stands under a replica's address.
-func (p *promotions) stranger(g *standin.Group, lasts time.Duration) {
-	p.odd(g, lasts, "node of another cluster", func(n *standin.Node) { n.Strange(8, 99) })
+// otherCluster: a node of another cluster answers at a replica's address.
+func (p *promotions) otherCluster(g *standin.Group, duration time.Duration) {
+	p.impersonate(g, duration, "node of another cluster", func(n *standin.Node) { n.Strange(8, 99) })
 }
 
-// odd has a replica be what it is not for a while.
-func (p *promotions) odd(g *standin.Group, lasts time.Duration, what string, become func(*standin.Node)) {
-	n := p.replica(g)
+// impersonate makes a replica claim a role for a while and records the claim.
+func (p *promotions) impersonate(g *standin.Group, duration time.Duration, fault string, become func(*standin.Node)) {
+	n := p.runningReplica(g)
 	if n == nil {
 		return
 	}
-	s := split{group: g, from: time.Now(), usurper: n.Name}
+	s := falseClaim{group: g, from: time.Now(), node: n.Name}
 	become(n)
-	p.struck(what)
-	p.wait(lasts)
+	p.countFault(fault)
+	p.sleep(duration)
 	p.rejoin(g, n)
 	s.to = time.Now()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.splits = append(p.splits, s)
+	p.falseClaims = append(p.falseClaims, s)
 }
 
-// polls: what drivers of one hall and nodes of the other say to each other is lost for a while, and a promotion falls
-// into it.
-func (p *promotions) polls(g *standin.Group, lasts time.Duration) {
+// lossyLink: messages between drivers and nodes of different zones are delayed and lost for a while, during which a
+// replica is promoted.
+func (p *promotions) lossyLink(g *standin.Group, duration time.Duration) {
 	for _, n := range g.Nodes() {
 		n.Through(func(driver string) (time.Duration, float64) {
-			if d := p.fleet.named(driver); d != nil && d.Hall != n.Hall {
+			if d := p.fleet.driverNamed(driver); d != nil && d.Hall != n.Hall {
 				return 30 * time.Millisecond, 0.3
 			}
 			return 0, 0
 		})
 	}
-	p.struck("link lost messages")
-	p.wait(lasts / 2)
+	p.countFault("link lost messages")
+	p.sleep(duration / 2)
 	old := g.Primary()
 	p.promote(g, true)
-	p.wait(lasts)
+	p.sleep(duration)
 	for _, n := range g.Nodes() {
 		n.Through(nil)
 	}
 	p.rejoin(g, old)
 }
 
-func (p *promotions) replica(g *standin.Group) *standin.Node {
+func (p *promotions) runningReplica(g *standin.Group) *standin.Node {
 	for _, n := range g.Nodes() {
 		if n != g.Primary() && n.Running() {
 			return n
@@ -277,10 +277,11 @@
 	return nil
 }
 
-// stopWithin is the time from the first notice on after which nothing new may go to an old primary.
-const stopWithin = 500 * time.Millisecond
+// stopSendingWithin is the time after a driver has observed a new timeline from which it must send nothing new to
+// the old primary.
+const stopSendingWithin = 500 * time.Millisecond
 
-// judge adds what promotions ask for.
+// judge adds the rules on promotions to the report.
 func (p *promotions) judge(r *Report) {
 	all := p.fleet.Trace.Statements()
 	commits := map[string][]standin.Commit{}
@@ -295,46 +296,47 @@
 			once.Break("%s was committed at %s and at %s", tag, cs[0].Node, cs[1].Node)
 		}
 	}
-	stopped, late := p.stopped(all, r.Slack)
-	split := p.neither(all)
-	writable, outages := p.writable(r.Slack)
-	r.Rules = append(r.Rules, once, stopped, late, split, writable)
+	stopped, late := p.judgeStopped(all, r.Slack)
+	falseWrites := p.judgeFalseClaims(all)
+	writable, outages := p.judgeWritable(r.Slack)
+	r.Rules = append(r.Rules, once, stopped, late, falseWrites, writable)
 	slices.Sort(outages)
-	claimants, near := 0, 0
-	for _, m := range p.made {
-		if m.lives {
+	claimants, guardRefusals := 0, 0
+	for _, m := range p.performed {
+		if m.oldContinues {
 			claimants++
 		}
 	}
 	for _, s := range all {
 		if s.Kind == standin.KindGuard && s.Code != "" {
-			near++
+			guardRefusals++
 		}
 	}
-	r.Notes = append(r.Notes, fmt.Sprintf("%d promotions, %d of them with an old primary that went on, %d odd peers; %d writes that a guard kept from running", len(p.made), claimants, len(p.splits), near))
+	r.Notes = append(r.Notes, fmt.Sprintf("%d promotions, %d of them with an old primary that went on, %d odd peers; %d writes that a guard kept from running", len(p.performed), claimants, len(p.falseClaims), guardRefusals))
 	if n := len(outages); n > 0 {
 		r.Notes = append(r.Notes, fmt.Sprintf("first write at the new primary after its promotion: median %v, 99th of 100 %v", outages[n/2].Round(time.Millisecond), outages[n*99/100].Round(time.Millisecond)))
 	}
 	if r.Broken() > 0 {
-		r.Notes = append(r.Notes, p.journal.lines...)
+		r.Notes = append(r.Notes, p.log.lines...)
 	}
-	if len(p.made) < 3 || claimants == 0 {
-		r.Missing = append(r.Missing, fmt.Sprintf("%d promotions, %d with two claimants", len(p.made), claimants))
+	if len(p.performed) < 3 || claimants == 0 {
+		r.Missing = append(r.Missing, fmt.Sprintf("%d promotions, %d with two claimants", len(p.performed), claimants))
 	}
 }
 
-// notices is when a driver was first told of a timeline of a slice, by an answer of any node of it.
-func (p *promotions) notices(all []standin.Statement, g *standin.Group, timeline uint32, driver string) (time.Time, bool) {
+// firstObserved returns when a node of a slice first answered a driver's poll with the given timeline or a newer
+// one.
+func (p *promotions) firstObserved(all []standin.Statement, g *standin.Group, timeline uint32, driver string) (time.Time, bool) {
 	for i := range all {
 		s := &all[i]
-		if s.Driver == driver && s.Kind == standin.KindFacts && s.Position.Timeline >= timeline && s.Position.Timeline < 99 && !s.Ended.IsZero() && p.of(s.Node) == g {
+		if s.Driver == driver && s.Kind == standin.KindFacts && s.Position.Timeline >= timeline && s.Position.Timeline < 99 && !s.Ended.IsZero() && p.groupOf(s.Node) == g {
 			return s.Ended, true
 		}
 	}
 	return time.Time{}, false
 }
 
-func (p *promotions) of(node string) *standin.Group {
+func (p *promotions) groupOf(node string) *standin.Group {
 	for _, g := range p.fleet.Groups {
 		for _, n := range g.Nodes() {
 			if n.Name == node {
@@ -345,23 +347,23 @@
 	return nil
 }
 
-// stopped: after a driver was told of a newer timeline, it sends an old primary nothing new within the time given; and no
-// write begins there longer after it was sent than writes may take to.
-func (p *promotions) stopped(all []standin.Statement, slack time.Duration) (stopped, late *Rule) {
+// judgeStopped judges two rules: a driver that has observed a newer timeline sends nothing new to the old primary
+// after stopSendingWithin, and no write begins there more than StartWithin of the settings after it was sent.
+func (p *promotions) judgeStopped(all []standin.Statement, slack time.Duration) (stopped, late *Rule) {
 	stopped, late = &Rule{Name: "old primary left alone"}, &Rule{Name: "no late write at an old primary"}
-	begin := settings.Defaults().StartWithin
-	for _, m := range p.made {
-		if !m.lives {
+	startWithin := settings.Defaults().StartWithin
+	for _, m := range p.performed {
+		if !m.oldContinues {
 			continue
 		}
-		until := p.rejoined(m)
+		until := p.claimEnd(m)
 		for _, d := range p.fleet.Drivers {
-			told, ok := p.notices(all, m.group, m.timeline, d.Name)
+			observed, ok := p.firstObserved(all, m.group, m.timeline, d.Name)
 			if !ok {
 				continue
 			}
 			stopped.Chances++
-			last := map[uint64]time.Time{} // by connection, when what stands before a request arrived: they are sent together
+			last := map[uint64]time.Time{} // by connection, arrival of the last poll or guard, which is sent together with the request that follows it
 			for i := range all {
 				s := &all[i]
 				if s.Node == m.old && (s.Kind == standin.KindFacts || s.Kind == standin.KindGuard) {
@@ -370,8 +372,8 @@
 				if s.Node != m.old || s.Driver != d.Name || s.Kind != standin.KindRead && s.Kind != standin.KindWrite || s.Arrived.Before(m.at) || !s.Arrived.Before(until) {
 					continue
 				}
-				if last[s.Conn].After(told.Add(stopWithin + slack)) {
-					stopped.Break("%s sent %s to %s %v after it was told of timeline %d", d.Name, s.Tag, s.Node, last[s.Conn].Sub(told), m.timeline)
+				if last[s.Conn].After(observed.Add(stopSendingWithin + slack)) {
+					stopped.Break("%s sent %s to %s %v after it had observed timeline %d", d.Name, s.Tag, s.Node, last[s.Conn].Sub(observed), m.timeline)
 				}
 			}
 		}
@@ -380,42 +382,43 @@
 				continue
 			}
 			late.Chances++
-			if sent, began, ok := guarded(all, m.old, c.Value); ok && began.Sub(sent) > begin+slack {
-				late.Break("%s began at %s %v after it was sent there, %v after %s was promoted", c.Value, m.old, began.Sub(sent), began.Sub(m.at), m.now)
+			if sent, began, ok := guardTimes(all, m.old, c.Value); ok && began.Sub(sent) > startWithin+slack {
+				late.Break("%s began at %s %v after it was sent there, %v after %s was promoted", c.Value, m.old, began.Sub(sent), began.Sub(m.at), m.next)
 			}
 		}
-		late.Chances++ // those that were kept from it too
+		late.Chances++ // for the writes that the guard refused
 	}
 	return stopped, late
 }
 
-// rejoined is when an old primary stopped claiming, or began to by right.
-func (p *promotions) rejoined(m promotion) time.Time {
+// claimEnd returns when an old primary stopped its claim or was promoted again.
+func (p *promotions) claimEnd(m promotion) time.Time {
 	until := time.Now()
-	sooner := func(at time.Time) {
+	earlier := func(at time.Time) {
 		if at.After(m.at) && at.Before(until) {
 			until = at
 		}
 	}
-	for _, at := range p.back[m.old] {
-		sooner(at)
+	for _, at := range p.rejoinedAt[m.old] {
+		earlier(at)
 	}
 	for _, s := range p.fleet.Trace.Starts() {
 		if s.Node == m.old {
-			sooner(s.At)
+			earlier(s.At)
 		}
 	}
-	for _, next := range p.made {
-		if next.group == m.group && next.old != m.old { // it follows then, or holds office by right
-			sooner(next.at)
+	for _, next := range p.performed {
+		if next.group == m.group && next.old != m.old { // it follows the new primary then, or is the primary
+			earlier(next.at)
 		}
 	}
 	return until
 }
 
-// guarded is when a write arrived at a node last, whether or not that was at work, and when its guard let it begin.
-func guarded(all []standin.Statement, node, tag string) (sent, began time.Time, ok bool) {
-	guards := map[uint64]*standin.Statement{} // by connection, the one before
+// guardTimes returns when a write last arrived at a node, even if the node was hung, and when its guard let it
+// begin.
+func guardTimes(all []standin.Statement, node, tag string) (sent, began time.Time, ok bool) {
+	guards := map[uint64]*standin.Statement{} // by connection, the last one
 	for i := range all {
 		s := &all[i]
 		switch {
@@ -429,34 +432,35 @@
 	return sent, began, ok
 }
 
-// neither: while a node claims what another has, or is of another cluster, it runs no write of a driver that was told of
-// both.
-func (p *promotions) neither(all []standin.Statement) *Rule {
+// judgeFalseClaims checks that a node runs no driver's write while it claims a timeline or cluster that is not its
+// own.
+func (p *promotions) judgeFalseClaims(all []standin.Statement) *Rule {
 	r := &Rule{Name: "no write at a usurper"}
-	for _, s := range p.splits {
+	for _, s := range p.falseClaims {
 		r.Chances++
 		for i := range all {
 			st := &all[i]
-			if st.Node == s.usurper && st.Kind == standin.KindWrite && st.Ran && st.Arrived.After(s.from) && st.Arrived.Before(s.to) {
-				r.Break("%s wrote %s at %s, %v after it claimed what it is not", st.Driver, st.Tag, st.Node, st.Arrived.Sub(s.from))
+			if st.Node == s.node && st.Kind == standin.KindWrite && st.Ran && st.Arrived.After(s.from) && st.Arrived.Before(s.to) {
+				r.Break("%s wrote %s at %s, %v after the start of the node's false claim", st.Driver, st.Tag, st.Node, st.Arrived.Sub(s.from))
 			}
 		}
 	}
 	return r
 }
 
-// writable: each new primary takes a write again, unless another promotion or the day's end comes before.
-func (p *promotions) writable(slack time.Duration) (*Rule, []time.Duration) {
+// judgeWritable checks that each new primary takes a write again, unless another promotion or the end of the day
+// comes first. It also returns the time that each took.
+func (p *promotions) judgeWritable(slack time.Duration) (*Rule, []time.Duration) {
 	r := &Rule{Name: "writable again"}
 	var outages []time.Duration
-	for i, m := range p.made {
+	for i, m := range p.performed {
 		within := 2500 * time.Millisecond
-		odd := slices.ContainsFunc(p.splits, func(s split) bool { return s.usurper == m.now && m.at.Sub(s.to) < p.fleet.Spec.Node.Ramp })
-		if m.omitted || odd {
-			within *= 2 // it is listed or answers anew, and begins as a node that was just started
+		afterFalseClaim := slices.ContainsFunc(p.falseClaims, func(s falseClaim) bool { return s.node == m.next && m.at.Sub(s.to) < p.fleet.Spec.Node.Ramp })
+		if m.newUnlisted || afterFalseClaim {
+			within *= 2 // the node is newly listed or was unusable, and has slow start as after a restart
 		}
 		end := time.Now()
-		for _, next := range p.made[i+1:] {
+		for _, next := range p.performed[i+1:] {
 			if next.group == m.group {
 				end = next.at
 				break
@@ -464,7 +468,7 @@
 		}
 		first := time.Time{}
 		for _, c := range m.group.Commits() {
-			if c.Node == m.now && c.At.After(m.at) {
+			if c.Node == m.next && c.At.After(m.at) {
 				first = c.At
 				break
 			}
@@ -474,18 +478,18 @@
 			r.Chances++
 			outages = append(outages, first.Sub(m.at))
 			if took := first.Sub(m.at); took > within+slack {
-				r.Break("%s took its first write %v after its promotion", m.now, took)
+				r.Break("%s took its first write %v after its promotion", m.next, took)
 			}
-		case end.Sub(m.at) > within+slack && !p.calm(m.at.Add(within)):
-			r.Break("%s took no write after its promotion", m.now)
+		case end.Sub(m.at) > within+slack && !p.clientsEnded(m.at.Add(within)):
+			r.Break("%s took no write after its promotion", m.next)
 		}
 	}
 	return r, outages
 }
 
-// calm tells whether clients had ended by a time.
-func (p *promotions) calm(at time.Time) bool {
-	for _, c := range p.book.Calls() {
+// clientsEnded reports whether no client sent a call after the given time.
+func (p *promotions) clientsEnded(at time.Time) bool {
+	for _, c := range p.callLog.Calls() {
 		if c.Sent.After(at) {
 			return false
 		}
