--- a/lab/client.go
+++ b/lab/client.go
@@ -49,7 +49,7 @@
 	Driver      string
 	Sent        time.Time
 	Answered    time.Time
-	Timeout     time.Duration // that the request gave the driver
+	Timeout     time.Duration // stated in the request
 	Verdict     Verdict
 	Text        string        // error message of a refusal or failure
 	RetryDelay  time.Duration // advised by a refusal
@@ -105,8 +105,8 @@
 	quietSlice         string  // a slice where most of its writes are replaced by reads of the first class
 	lateReadShare      float64 // share of reads by kv_late, which reads the table as it ends
 
-	home                   int  // index of the first slice that it uses
-	carriesTokenIfRequired bool // only with calls whose class requires a token
+	home                int  // index of the first slice that it uses
+	tokenOnlyIfRequired bool // the session sends no token with other classes
 }
 
 // Plant is a fault planted to check that the judges find it.
@@ -223,7 +223,7 @@
 
 func (s *session) request(c *Call) *pb.ExecuteRequest {
 	carried := s.tokens[c.Slice]
-	if c.Class.Need != balance.NeedSession && !s.alwaysCarriesToken && (s.carriesTokenIfRequired || s.rng.IntN(4) > 0) {
+	if c.Class.Need != balance.NeedSession && !s.alwaysCarriesToken && (s.tokenOnlyIfRequired || s.rng.IntN(4) > 0) {
 		carried = "" // most clients send it only where the class requires it
 	}
 	if carried != "" {
--- a/lab/live.go
+++ b/lab/live.go
@@ -259,7 +259,7 @@
 	}
 	s := newSession(l.fleet, l.callLog, l.created, 0)
 	s.badShare = &l.badShare
-	s.home, s.carriesTokenIfRequired, s.clientName = l.created, true, fmt.Sprintf("s%d", l.created)
+	s.home, s.tokenOnlyIfRequired, s.clientName = l.created, true, fmt.Sprintf("s%d", l.created)
 	if l.cfg.Plant == world.PlantSilent {
 		s.plant = LostAnswers
 	}
--- a/lab/nodefile.go
+++ b/lab/nodefile.go
@@ -24,15 +24,15 @@
 	dir  string
 	path string
 
-	mu           sync.Mutex
-	rng          *rand.Rand
-	nodes        []settings.Node
-	text         string // valid content
-	replacements int    // running calls of replaceWhile, which defer writes until they end
-	replaceCount int
-	generation   int                         // number of changes of the content
-	onReadable   func(nodes []settings.Node) // called when drivers may read the content
-	onNoticed    func(nodes []settings.Node) // called when every driver has read the content
+	mu                 sync.Mutex
+	rng                *rand.Rand
+	nodes              []settings.Node
+	text               string // valid content
+	activeReplacements int    // running calls of replaceWhile; writes are deferred until they end
+	replaceCount       int
+	generation         int                         // number of changes of the content
+	onReadable         func(nodes []settings.Node) // called when drivers may read the content
+	onNoticed          func(nodes []settings.Node) // called when every driver has read the content
 }
 
 // markPublished calls onReadable now and onNoticed after fileNoticeDelay, unless the file changes before. The caller
@@ -74,7 +74,7 @@
 	if f.rng.IntN(2) == 0 {
 		f.text = ansibleOf(nodes)
 	}
-	if f.replacements > 0 {
+	if f.activeReplacements > 0 {
 		return
 	}
 	defer f.markPublished()
@@ -122,14 +122,14 @@
 // replaceWhile calls do and wait, and then restores the valid content, unless another call is still running.
 func (f *nodeFile) replaceWhile(do, wait func()) {
 	f.mu.Lock()
-	f.replacements++
+	f.activeReplacements++
 	f.generation++
 	do()
 	f.mu.Unlock()
 	wait()
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.replacements--; f.replacements == 0 {
+	if f.activeReplacements--; f.activeReplacements == 0 {
 		f.replace(f.text)
 		f.markPublished()
 	}
@@ -139,7 +139,7 @@
 func (f *nodeFile) replaceRepeatedly(ctx context.Context, times int) {
 	for n := 0; n < times && ctx.Err() == nil; {
 		f.mu.Lock()
-		if f.replacements == 0 {
+		if f.activeReplacements == 0 {
 			f.replace(f.text)
 			n++
 		}
