--- a/internal/lines/lines.go
+++ b/internal/lines/lines.go
@@ -1,5 +1,6 @@
-// Package lines reads files of lines in the manner of classic daemons, each a directive with its arguments, some of them
-// blocks in braces. It collects every mistake, each with file, line and column.
+// Package lines parses configuration files made of directives: one directive per line, with its arguments or with a block of
+// directives in braces. NewParser takes the text of a file; Tree returns its directives and Err every problem, each with file,
+// line and column. Packages settings, load, lab/experiment and explore read their files with it.
 package lines
 
 import (
@@ -13,20 +14,21 @@
 	"umberladder/internal/words"
 )
 
-// NewParser takes a file's text; the name is what problems name.
+// NewParser returns a parser of text. Problems carry the name file. Text that is not UTF-8 or contains a NUL byte has one
+// problem and no directives.
 func NewParser(file, text string) *Parser {
 	p := &Parser{file: file, lines: strings.Split(strings.TrimPrefix(text, "\ufeff"), "\n")}
 	if i := strings.IndexByte(text, 0); i >= 0 || !utf8.ValidString(text) {
 		p.problems = Problems{{file, 1 + strings.Count(text[:max(i, 0)], "\n"), 1, "not UTF-8 text"}}
-		p.at = len(p.lines)
+		p.next = len(p.lines)
 	}
 	return p
 }
 
-// Tree is the file's directives. Text that is none at all has none, and one problem.
+// Tree parses the text and returns its top-level directives, those with problems included. Call it once, then Err.
 func (p *Parser) Tree() []Directive { return p.blocks(Word{}, 0) }
 
-// Err is what was wrong, in the order of the file, or nil.
+// Err returns Problems, sorted by line and column, or nil if none was found so far.
 func (p *Parser) Err() error {
 	if len(p.problems) == 0 {
 		return nil
@@ -37,7 +39,7 @@
 	return p.problems
 }
 
-// Unknown notes a directive that is none, with the one that was most likely meant.
+// Unknown records the problem that w names no directive in known, and suggests the nearest one.
 func (p *Parser) Unknown(w Word, known []string) {
 	if n := words.Nearest(w.Text, known, 1+len(w.Text)/3); n != "" {
 		p.Problem(w, "unknown directive %q; did you mean %q?", w.Text, n)
@@ -46,51 +48,51 @@
 	p.Problem(w, "unknown directive %q; known here: %s", w.Text, strings.Join(known, ", "))
 }
 
-// One is the only argument of a directive.
+// One returns the only argument of d. It returns false and records a problem if d has a block, or not exactly one argument.
 func (p *Parser) One(d Directive) (Word, bool) {
 	switch {
 	case d.Open:
 		p.Problem(d.Name, "%s takes a value, not a block", d.Name.Text)
 	case len(d.Args) == 0:
-		p.Problem(d.Name, "%s wants a value", d.Name.Text)
+		p.Problem(d.Name, "%s needs a value", d.Name.Text)
 	case len(d.Args) > 1:
-		p.Problem(d.Args[1], "%s takes one value; put quotes around one with blanks", d.Name.Text)
+		p.Problem(d.Args[1], "%s takes one value; quote a value that contains blanks", d.Name.Text)
 	default:
 		return d.Args[0], true
 	}
 	return Word{}, false
 }
 
-// Count takes a directive's only argument for a whole number within bounds.
-func (p *Parser) Count(d Directive, at *int, least, most int) {
+// Count sets *dst to the only argument of d, a whole number from least to most. Otherwise it records a problem.
+func (p *Parser) Count(d Directive, dst *int, least, most int) {
 	if w, ok := p.One(d); ok {
-		p.Whole(w, d.Name.Text, at, least, most)
+		p.Whole(w, d.Name.Text, dst, least, most)
 	}
 }
 
-// Whole takes a word for a whole number within bounds; the name is what it is of.
-func (p *Parser) Whole(w Word, name string, at *int, least, most int) {
+// Whole sets *dst to w, a whole number from least to most. Otherwise it records a problem that begins with name.
+func (p *Parser) Whole(w Word, name string, dst *int, least, most int) {
 	v, err := strconv.Atoi(w.Text)
 	if err != nil || v < least || v > most {
 		p.Problem(w, "%s: %q is no whole number from %d to %d", name, w.Text, least, most)
 		return
 	}
-	*at = v
+	*dst = v
 }
 
-// Number takes a directive's only argument for a number within bounds.
-func (p *Parser) Number(d Directive, at *float64, least, most float64) {
+// Number sets *dst to the only argument of d, a number from least to most. Otherwise it records a problem.
+func (p *Parser) Number(d Directive, dst *float64, least, most float64) {
 	if w, ok := p.One(d); ok {
 		v, err := strconv.ParseFloat(w.Text, 64)
 		if err != nil || !(v >= least && v <= most) {
 			p.Problem(w, "%s: %q is no number from %g to %g", d.Name.Text, w.Text, least, most)
 			return
 		}
-		*at = v
+		*dst = v
 	}
 }
 
-// Problem is one mistake in a settings file.
+// Problem is one mistake in a file.
 type Problem struct {
 	File   string
 	Line   int // from 1
@@ -100,7 +102,7 @@
 
 func (p Problem) Error() string { return fmt.Sprintf("%s:%d:%d: %s", p.File, p.Line, p.Column, p.Text) }
 
-// Problems is every mistake of a file, in its order.
+// Problems lists every mistake of a file, sorted by line and column. As an error, it has one line for each.
 type Problems []Problem
 
 func (p Problems) Error() string {
@@ -111,42 +113,43 @@
 	return strings.Join(lines, "\n")
 }
 
-// Word is one word of a line.
+// Word is one word of a line, without its quotes.
 type Word struct {
 	Text         string
-	Line, Column int // from 1
+	Line, Column int // from 1; columns in characters
 	Quoted       bool
 }
 
-// Is tells whether a word without quotes is this text.
+// Is reports whether w equals text and was written without quotes.
 func (w Word) Is(text string) bool { return !w.Quoted && w.Text == text }
 
-// Directive is one line, with the lines of its block.
+// Directive is one line: its first word, the other words, and the directives of its block.
 type Directive struct {
 	Name  Word
 	Args  []Word
 	Block []Directive
-	Open  bool // it has a block, if an empty one
+	Open  bool // has a block, which may be empty
 }
 
-// Parser turns text into directives and collects what is wrong.
+// Parser turns text into directives and collects problems.
 type Parser struct {
 	file     string
 	lines    []string
-	at       int
+	next     int // index in lines of the next one to parse
 	problems Problems
 }
 
-// Problem notes a mistake at a word.
+// Problem records a mistake at the position of w.
 func (p *Parser) Problem(w Word, format string, args ...any) {
 	p.problems = append(p.problems, Problem{p.file, w.Line, w.Column, fmt.Sprintf(format, args...)})
 }
 
-// blocks reads lines up to the brace that closes the block, or to the end of the file at depth 0.
-func (p *Parser) blocks(opened Word, depth int) (all []Directive) {
-	for p.at < len(p.lines) {
-		words := p.words(p.at)
-		p.at++
+// blocks parses lines up to the brace that closes the block, or to the end of the file at depth 0. brace is the opening
+// brace of the block.
+func (p *Parser) blocks(brace Word, depth int) (all []Directive) {
+	for p.next < len(p.lines) {
+		words := p.words(p.next)
+		p.next++
 		if len(words) == 0 {
 			continue
 		}
@@ -171,18 +174,18 @@
 		}
 		for _, w := range d.Args {
 			if w.Is("{") || w.Is("}") {
-				p.Problem(w, "a brace stands alone: the opening one ends its line, the closing one has its own")
+				p.Problem(w, "misplaced brace: an opening brace must end its line, a closing brace needs a line of its own")
 			}
 		}
 		all = append(all, d)
 	}
 	if depth > 0 {
-		p.Problem(opened, "this block is never closed")
+		p.Problem(brace, "this block is never closed")
 	}
 	return all
 }
 
-// words splits one line. A Word in double quotes may hold blanks, '#', and \" and \\.
+// words splits line n, counted from 0, into words. A word in double quotes may contain blanks, '#', \" and \\.
 func (p *Parser) words(n int) (words []Word) {
 	runes := []rune(strings.TrimSuffix(p.lines[n], "\r"))
 	for i := 0; i < len(runes); {
@@ -225,5 +228,5 @@
 	return w, len(runes)
 }
 
-// Lines is how many there are.
+// Lines returns the number of lines of the text, at least 1.
 func (p *Parser) Lines() int { return len(p.lines) }
--- a/internal/words/words.go
+++ b/internal/words/words.go
@@ -1,11 +1,13 @@
-// Package words finds the known word that a mistyped one was most likely meant to be.
+// Package words suggests corrections of misspelled words. Nearest takes a word and the list of known words and returns the one
+// at the smallest edit distance. The parsers of settings and inventories call it for their "did you mean" messages.
 package words
 
 import "strings"
 
-// Nearest is the known word at the least distance from text, at most most, "" if none is as near.
-func Nearest(text string, known []string, most int) string {
-	best, least := "", most+1
+// Nearest returns the word of known at the smallest Distance from text, ignoring case, or "" if none is within maxDistance edits.
+// Known words that are no longer than their distance are skipped. Of equally near words the first one is returned.
+func Nearest(text string, known []string, maxDistance int) string {
+	best, least := "", maxDistance+1
 	for _, k := range known {
 		if d := Distance(strings.ToLower(text), strings.ToLower(k)); d < least && d < len(k) {
 			best, least = k, d
@@ -14,7 +16,8 @@
 	return best
 }
 
-// Distance is the number of insertions, deletions, substitutions and swaps of neighbours between two words.
+// Distance returns the edit distance between a and b in bytes: the least number of insertions, deletions, substitutions and
+// swaps of adjacent bytes that turn one into the other.
 func Distance(a, b string) int {
 	d := make([][]int, len(a)+1)
 	for i := range d {
