--- a/settings/bind.go
+++ b/settings/bind.go
@@ -11,7 +11,7 @@
 	"umberladder/internal/lines"
 )
 
-// bind turns directives into settings and checks what one line alone can't say.
+// bind builds Settings from directives, over the defaults, and records every problem in p.
 func bind(p *lines.Parser, tree []directive) *Settings {
 	s := Defaults()
 	b := &binder{Parser: p, s: s, seen: map[string]word{}}
@@ -24,12 +24,12 @@
 
 type binder struct {
 	*lines.Parser
-	s       *Settings
-	seen    map[string]word // where each directive with one value was set
-	classes []word
-	nodes   []word
-	halls   []word
-	listed  word // an inventory directive
+	s           *Settings
+	seen        map[string]word // name of each single-value directive set so far, by its full name such as "drain grace"
+	classes     []word
+	nodes       []word
+	zones       []word
+	inventoryAt word // name of the inventory directive
 }
 
 func topNames() []string {
@@ -49,7 +49,7 @@
 func (b *binder) top(d directive) {
 	switch d.Name.Text {
 	case "hall":
-		b.hall(d)
+		b.zone(d)
 		return
 	case "class":
 		b.class(d)
@@ -78,12 +78,12 @@
 	b.Unknown(d.Name, topNames())
 }
 
-// block takes both forms: a block of lines, or one of its lines written out, as in "drain grace 500ms".
+// block binds both forms: a block of directives, or one of its directives on the same line, as in "drain grace 500ms".
 func (b *binder) block(bl block, d directive) {
 	all := d.Block
 	if !d.Open {
 		if len(d.Args) == 0 {
-			b.Problem(d.Name, "%s wants a block or a directive of its own", d.Name.Text)
+			b.Problem(d.Name, "%s needs a block or one of its directives on the same line", d.Name.Text)
 			return
 		}
 		all = []directive{{Name: d.Args[0], Args: d.Args[1:]}}
@@ -110,8 +110,8 @@
 
 func (b *binder) field(s *Settings, prefix string, f field, d directive) {
 	full := prefix + f.name
-	if before, again := b.seen[full]; again {
-		b.Problem(d.Name, "%s was set in line %d already", full, before.Line)
+	if first, repeated := b.seen[full]; repeated {
+		b.Problem(d.Name, "%s is already set on line %d", full, first.Line)
 		return
 	}
 	b.seen[full] = d.Name
@@ -122,26 +122,26 @@
 	}
 }
 
-func (b *binder) hall(d directive) {
+func (b *binder) zone(d directive) {
 	if len(d.Args) == 0 || d.Open {
-		b.Problem(d.Name, "hall wants one or more names")
+		b.Problem(d.Name, "hall needs one or more names")
 		return
 	}
 	for _, w := range d.Args {
 		if slices.Contains(b.s.Halls, w.Text) {
-			b.Problem(w, "hall %q stands twice", w.Text)
+			b.Problem(w, "duplicate hall %q", w.Text)
 			continue
 		}
-		b.s.Halls, b.halls = append(b.s.Halls, w.Text), append(b.halls, w)
+		b.s.Halls, b.zones = append(b.s.Halls, w.Text), append(b.zones, w)
 	}
 }
 
 func (b *binder) inventory(d directive) {
 	if len(d.Args) == 0 || d.Open {
-		b.Problem(d.Name, "inventory wants one or more files or directories")
+		b.Problem(d.Name, "inventory needs one or more files or directories")
 		return
 	}
-	b.listed = d.Name
+	b.inventoryAt = d.Name
 	for _, w := range d.Args {
 		b.s.Inventory = append(b.s.Inventory, w.Text)
 	}
@@ -151,14 +151,14 @@
 
 func (b *binder) class(d directive) {
 	if len(d.Args) != 1 || !d.Open {
-		b.Problem(d.Name, "class wants a name and a block, as in: class article-read {")
+		b.Problem(d.Name, "class needs a name and a block, as in: class article-read {")
 		return
 	}
 	name := d.Args[0]
 	if i := slices.IndexFunc(b.classes, func(w word) bool { return w.Text == name.Text }); i >= 0 {
-		b.Problem(name, "class %q stands in line %d already", name.Text, b.classes[i].Line)
+		b.Problem(name, "class %q is already defined on line %d", name.Text, b.classes[i].Line)
 	}
-	c := Class{Name: name.Text, Worth: 1}
+	c := Class{Name: name.Text, Value: 1}
 	seen := map[string]bool{}
 	for _, line := range d.Block {
 		if seen[line.Name.Text] {
@@ -168,9 +168,9 @@
 		seen[line.Name.Text] = true
 		b.classLine(&c, line)
 	}
-	for _, must := range []string{"effect", "need", "target", "deadline"} {
-		if !seen[must] {
-			b.Problem(name, "class %q lacks %s", c.Name, must)
+	for _, required := range []string{"effect", "need", "target", "deadline"} {
+		if !seen[required] {
+			b.Problem(name, "class %q has no %s", c.Name, required)
 		}
 	}
 	b.checkClass(name, c, seen)
@@ -179,19 +179,19 @@
 
 func (b *binder) checkClass(name word, c Class, seen map[string]bool) {
 	if seen["target"] && seen["deadline"] && c.Deadline < c.Target {
-		b.Problem(name, "class %q: deadline %v is before its target %v", c.Name, c.Deadline, c.Target)
+		b.Problem(name, "class %q: deadline %v is shorter than its target %v", c.Name, c.Deadline, c.Target)
 	}
 	if c.Effect == balance.Keyed && !seen["window"] {
-		b.Problem(name, "class %q is keyed and lacks window: how long nodes discard repeats", c.Name)
+		b.Problem(name, "class %q is keyed and has no window, the time for which nodes discard repeats", c.Name)
 	}
 	if c.Effect != balance.Keyed && (seen["window"] || seen["scope"]) {
-		b.Problem(name, "class %q: window and scope are for keyed classes", c.Name)
+		b.Problem(name, "class %q: window and scope are only for classes with 'effect keyed'", c.Name)
 	}
 	if c.Need != balance.NeedSession && seen["without-token"] {
-		b.Problem(name, "class %q: without-token is for classes that need a session", c.Name)
+		b.Problem(name, "class %q: without-token is only for classes with 'need session'", c.Name)
 	}
 	if c.Effect == balance.Safe && c.Need == balance.NeedWrite && seen["need"] {
-		b.Problem(name, "class %q: a write that is safe to repeat is 'effect keyed' or 'effect unsafe'", c.Name)
+		b.Problem(name, "class %q: 'need write' goes with 'effect keyed' or 'effect unsafe', not with 'effect safe'", c.Name)
 	}
 }
 
@@ -211,84 +211,84 @@
 	var err error
 	switch d.Name.Text {
 	case "effect":
-		err = pick(&c.Effect, arg.Text, "safe", "keyed", "unsafe")
+		err = setChoice(&c.Effect, arg.Text, "safe", "keyed", "unsafe")
 	case "scope":
-		err = pick(&c.Scope, arg.Text, "slice", "hall", "all")
+		err = setChoice(&c.Scope, arg.Text, "slice", "hall", "all")
 	case "target":
-		c.Target, err = positive(arg.Text)
+		c.Target, err = parsePositive(arg.Text)
 	case "deadline":
-		c.Deadline, err = positive(arg.Text)
+		c.Deadline, err = parsePositive(arg.Text)
 	case "window":
-		c.Window, err = positive(arg.Text)
+		c.Window, err = parsePositive(arg.Text)
 	case "worth":
-		c.Worth, err = plain(arg.Text)
+		c.Value, err = parseFactor(arg.Text)
 	case "late-worth":
-		c.LateWorth, err = percent(arg.Text)
+		c.LateValue, err = parsePercentage(arg.Text)
 	case "without-token":
-		err = pick(&c.Tokenless, arg.Text, "accept", "primary", "refuse")
+		err = setChoice(&c.Tokenless, arg.Text, "accept", "primary", "refuse")
 	}
 	if err != nil {
 		b.Problem(arg, "%s: %v", d.Name.Text, err)
 	}
 }
 
-func pick[T ~uint8](at *T, v string, words ...string) error {
+func setChoice[T ~uint8](ptr *T, v string, words ...string) error {
 	i, err := oneOf(v, words)
-	*at = T(i)
+	*ptr = T(i)
 	return err
 }
 
-func positive(v string) (time.Duration, error) {
-	d, err := parsePeriod(v)
+func parsePositive(v string) (time.Duration, error) {
+	d, err := parseDuration(v)
 	if err == nil && d == 0 {
-		err = fmt.Errorf("must be more than 0")
+		err = fmt.Errorf("must be longer than 0s")
 	}
 	return d, err
 }
 
-func plain(v string) (float64, error) {
+func parseFactor(v string) (float64, error) {
 	var s Settings
-	err := factor("", "", func(s *Settings) *float64 { return &s.TipMultiple }).set(&s, v)
-	return s.TipMultiple, err
+	err := factor("", "", func(s *Settings) *float64 { return &s.ColdOverloadMultiple }).set(&s, v)
+	return s.ColdOverloadMultiple, err
 }
 
-func percent(v string) (float64, error) {
+func parsePercentage(v string) (float64, error) {
 	var s Settings
-	err := share("", "", func(s *Settings) *float64 { return &s.ColdFrom }).set(&s, v)
+	err := percentage("", "", func(s *Settings) *float64 { return &s.ColdFrom }).set(&s, v)
 	return s.ColdFrom, err
 }
 
-var needs = []string{"write", "fresh", "session", "bounded", "any"}
+var needNames = []string{"write", "fresh", "session", "bounded", "any"}
 
 func (b *binder) need(c *Class, d directive) {
 	if len(d.Args) == 0 || d.Open {
-		b.Problem(d.Name, "need wants one of %s", strings.Join(needs, ", "))
+		b.Problem(d.Name, "need requires one of %s", strings.Join(needNames, ", "))
 		return
 	}
-	if err := pick(&c.Need, d.Args[0].Text, needs...); err != nil {
+	if err := setChoice(&c.Need, d.Args[0].Text, needNames...); err != nil {
 		b.Problem(d.Args[0], "need: %v", err)
 		return
 	}
 	switch {
 	case c.Need == balance.NeedBounded && len(d.Args) != 2:
-		b.Problem(d.Args[0], "need bounded wants the age allowed, as in: need bounded 200ms")
+		b.Problem(d.Args[0], "need bounded requires a maximum age, as in: need bounded 200ms")
 	case c.Need == balance.NeedBounded:
-		bound, err := positive(d.Args[1].Text)
+		bound, err := parsePositive(d.Args[1].Text)
 		if err != nil {
 			b.Problem(d.Args[1], "need bounded: %v", err)
 		}
 		c.Bound = bound
 	case len(d.Args) > 1:
-		b.Problem(d.Args[1], "need %s takes nothing more", d.Args[0].Text)
+		b.Problem(d.Args[1], "need %s takes no further argument", d.Args[0].Text)
 	}
 }
 
 var nodeOptions = []string{"slice", "hall", "state", "started"}
 
-// node reads: node NAME HOST:PORT slice=S hall=H [state=ready|draining|gone] [started=TIME].
+// node binds: node NAME HOST:PORT slice=S [hall=H] [state=ready|draining|gone] [started=TIME].
 func (b *binder) node(d directive) {
 	if len(d.Args) < 2 || d.Open {
-		b.Problem(d.Name, "node wants a name, HOST:PORT, slice=NAME and hall=NAME")
+		b.Problem(d.Name, "node needs a name, HOST:PORT, slice=NAME and, if there are halls, hall=NAME")
 		return
 	}
 	n := Node{Name: d.Args[0].Text, Address: d.Args[1].Text, Line: d.Name.Line}
@@ -300,9 +300,9 @@
 		key, value, ok := strings.Cut(w.Text, "=")
 		switch {
 		case !ok:
-			b.Problem(w, "%q is no option; write KEY=VALUE", w.Text)
+			b.Problem(w, "%q is not an option; write KEY=VALUE", w.Text)
 		case seen[key]:
-			b.Problem(w, "%s stands twice", key)
+			b.Problem(w, "%s is set twice", key)
 		case !slices.Contains(nodeOptions, key):
 			b.Unknown(word{Text: key, Line: w.Line, Column: w.Column}, nodeOptions)
 		default:
@@ -311,13 +311,13 @@
 		seen[key] = true
 	}
 	if !seen["slice"] {
-		b.Problem(d.Args[0], "node %q lacks slice=NAME", n.Name)
+		b.Problem(d.Args[0], "node %q has no slice=NAME", n.Name)
 	}
 	for i, other := range b.s.Nodes {
 		if other.Name == n.Name {
-			b.Problem(d.Args[0], "node %q stands in line %d already", n.Name, b.nodes[i].Line)
+			b.Problem(d.Args[0], "node %q is already defined on line %d", n.Name, b.nodes[i].Line)
 		} else if other.Address == n.Address {
-			b.Problem(d.Args[1], "address %s is node %q's in line %d", n.Address, other.Name, b.nodes[i].Line)
+			b.Problem(d.Args[1], "address %s is already used by node %q on line %d", n.Address, other.Name, b.nodes[i].Line)
 		}
 	}
 	b.s.Nodes, b.nodes = append(b.s.Nodes, n), append(b.nodes, d.Args[0])
@@ -329,16 +329,16 @@
 	case "slice":
 		n.Slice = value
 		if value == "" || len(value) > 64 {
-			err = fmt.Errorf("slice wants a name of 64 bytes at most")
+			err = fmt.Errorf("slice must be a name of 1 to 64 bytes")
 		}
 	case "hall":
 		n.Hall = value
 	case "state":
-		err = pick(&n.Life, value, "ready", "draining", "gone")
+		err = setChoice(&n.Life, value, "ready", "draining", "gone")
 	case "started":
 		n.Started, err = time.Parse(time.RFC3339, value)
 		if err != nil {
-			err = fmt.Errorf("%q is no time; write one like 2026-03-01T06:30:00Z", value)
+			err = fmt.Errorf("%q is not an RFC 3339 time; write one like 2026-03-01T06:30:00Z", value)
 		}
 	}
 	if err != nil {
@@ -346,41 +346,41 @@
 	}
 }
 
-// check looks at what only the whole file tells.
+// check records problems that concern more than one directive.
 func (b *binder) check() {
 	s := b.s
 	if len(s.Classes) == 0 {
-		b.Problem(word{Line: b.Lines(), Column: 1}, "no class is set; without one no request can be served")
+		b.Problem(word{Line: b.Lines(), Column: 1}, "no class is defined; without one no request can be served")
 	}
 	if len(s.Classes) > 256 {
-		b.Problem(b.classes[256], "over 256 classes")
+		b.Problem(b.classes[256], "more than 256 classes")
 	}
-	if len(s.Halls) > 0 && s.Here == "" {
-		b.Problem(b.halls[0], "halls are named, but not which one this driver is in: add 'here %s' or another", s.Halls[0])
+	if len(s.Halls) > 0 && s.Zone == "" {
+		b.Problem(b.zones[0], "halls are listed, but not the one that this driver runs in; add 'here %s' or another", s.Halls[0])
 	}
-	if s.Here != "" && !slices.Contains(s.Halls, s.Here) {
-		b.Problem(b.seen["here"], "hall %q is not among the halls%s", s.Here, meant(s.Here, s.Halls))
+	if s.Zone != "" && !slices.Contains(s.Halls, s.Zone) {
+		b.Problem(b.seen["here"], "hall %q is not listed by a hall directive%s", s.Zone, suggestion(s.Zone, s.Halls))
 	}
 	for i, n := range s.Nodes {
 		if n.Hall != "" && !slices.Contains(s.Halls, n.Hall) {
-			b.Problem(b.nodes[i], "node %q: hall %q is not among the halls%s", n.Name, n.Hall, meant(n.Hall, s.Halls))
+			b.Problem(b.nodes[i], "node %q: hall %q is not listed by a hall directive%s", n.Name, n.Hall, suggestion(n.Hall, s.Halls))
 		}
 	}
 	s.Members.Drivers = s.Routers
 	if len(s.Inventory) > 0 && len(s.Nodes) > 0 {
-		b.Problem(b.nodes[0], "nodes come from the inventory of line %d; a node line beside it would be lost", b.listed.Line)
+		b.Problem(b.nodes[0], "nodes come from the inventory on line %d; remove either it or the node directives", b.inventoryAt.Line)
 	}
-	if s.Behind == balance.BehindWait && s.CatchUpWait == 0 {
-		b.Problem(b.seen["replicas behind"], "with 'behind wait', set catch-up too")
+	if s.LagPolicy == balance.BehindWait && s.CatchUpWait == 0 {
+		b.Problem(b.seen["replicas behind"], "'behind wait' also needs catch-up, the longest wait")
 	}
 	for i, c := range s.Classes {
 		if c.Deadline > 0 && c.Deadline <= 2*s.AnswerMargin {
-			b.Problem(b.classes[i], "class %q: its deadline %v leaves no time beside the answer margin %v", c.Name, c.Deadline, s.AnswerMargin)
+			b.Problem(b.classes[i], "class %q: deadline %v must be longer than twice the answer margin %v", c.Name, c.Deadline, s.AnswerMargin)
 		}
 	}
 }
 
-func meant(name string, known []string) string {
+func suggestion(name string, known []string) string {
 	if n := nearest(name, known); n != "" {
 		return "; did you mean " + strconv.Quote(n) + "?"
 	}
--- a/settings/fields.go
+++ b/settings/fields.go
@@ -11,7 +11,8 @@
 	"umberladder/balance"
 )
 
-// field is one directive with one argument: how its text becomes a value, and how the value is shown.
+// field is a directive with one argument: set parses it into Settings, show formats the value, and doc is printed by
+// config show.
 type field struct {
 	name string
 	set  func(s *Settings, text string) error
@@ -19,223 +20,223 @@
 	doc  string
 }
 
-// block is a directive with lines of its own.
+// block is a directive with a block of fields.
 type block struct {
 	name   string
 	fields []field
 }
 
-// blocks lists every directive with a single value. The empty name is the top of the file.
+// blocks lists every directive with a single value. The empty name stands for the top level of the file.
 var blocks = []block{
 	{"", []field{
-		text("here", "the hall that this driver runs in", func(s *Settings) *string { return &s.Here }),
-		number("routers", "drivers that serve the same nodes, 0 if not known", 0, 1e6, func(s *Settings) *int { return &s.Routers }),
-		period("round", "the least time between two looks at what came in", time.Millisecond, time.Second, func(s *Settings) *time.Duration { return &s.Round }),
+		text("here", "the hall that this driver runs in", func(s *Settings) *string { return &s.Zone }),
+		integer("routers", "number of drivers that serve the same nodes; 0: not known", 0, 1e6, func(s *Settings) *int { return &s.Routers }),
+		duration("round", "minimum time between two batches of input", time.Millisecond, time.Second, func(s *Settings) *time.Duration { return &s.MinBatchInterval }),
 	}},
 	{"state", []field{
-		text("dir", "directory that keeps the last good inventory", func(s *Settings) *string { return &s.StateDir }),
-		text("control", "path of the socket for the inventory and topology commands", func(s *Settings) *string { return &s.Control }),
+		text("dir", "directory for the last good inventory", func(s *Settings) *string { return &s.StateDir }),
+		text("control", "path of the control socket, for the inventory and topology commands", func(s *Settings) *string { return &s.Control }),
 	}},
 	{"membership", []field{
-		share("most-lost", "share of a slice that a list may lack at once and be believed", func(s *Settings) *float64 { return &s.Members.MostLost }),
-		period("confirm-after", "a list unchanged for so long is believed; 0s for never", 0, 24*time.Hour, func(s *Settings) *time.Duration { return &s.Members.ConfirmAfter }),
-		number("least", "nodes that each slice needs", 1, 1000, func(s *Settings) *int { return &s.LeastMembers }),
-		number("together", "drivers that may come to a new node within a step", 1, 10000, func(s *Settings) *int { return &s.Members.Together }),
-		period("step", "the time that 'together' and 'own-pace' count over", time.Millisecond, time.Hour, func(s *Settings) *time.Duration { return &s.Members.Step }),
-		number("own-pace", "new nodes that this driver takes within a step", 1, 100000, func(s *Settings) *int { return &s.Members.OwnPace }),
-		period("flap-window", "how long a call back and forth is remembered", 0, 24*time.Hour, func(s *Settings) *time.Duration { return &s.Members.FlapWindow }),
-		number("flap-limit", "calls back within it before a node waits", 0, 1000, func(s *Settings) *int { return &s.Members.FlapLimit }),
-		period("flap-hold", "how long it waits first; twice as long each further time", 0, time.Hour, func(s *Settings) *time.Duration { return &s.Members.FlapHold }),
+		percentage("most-lost", "largest share of a slice that a list may omit at once and still be applied", func(s *Settings) *float64 { return &s.Members.MostLost }),
+		duration("confirm-after", "time after which an unchanged list is applied in any case; 0s: never", 0, 24*time.Hour, func(s *Settings) *time.Duration { return &s.Members.ConfirmAfter }),
+		integer("least", "minimum number of nodes in each slice", 1, 1000, func(s *Settings) *int { return &s.LeastMembers }),
+		integer("together", "number of drivers that may start to use a new node within a step", 1, 10000, func(s *Settings) *int { return &s.Members.Together }),
+		duration("step", "length of a step, for 'together' and 'own-pace'", time.Millisecond, time.Hour, func(s *Settings) *time.Duration { return &s.Members.Step }),
+		integer("own-pace", "number of new nodes that this driver starts to use within a step", 1, 100000, func(s *Settings) *int { return &s.Members.OwnPace }),
+		duration("flap-window", "time over which removals that were reversed are counted", 0, 24*time.Hour, func(s *Settings) *time.Duration { return &s.Members.FlapWindow }),
+		integer("flap-limit", "number of reversed removals within it before a node is held back", 0, 1000, func(s *Settings) *int { return &s.Members.FlapLimit }),
+		duration("flap-hold", "time that it is held back at first; doubles each further time", 0, time.Hour, func(s *Settings) *time.Duration { return &s.Members.FlapHold }),
 	}},
 	{"listen", []field{
-		address("grpc", "where clients are served, HOST:PORT", func(s *Settings) *string { return &s.ListenGRPC }),
-		address("metrics", "where Prometheus may ask, HOST:PORT; off without it", func(s *Settings) *string { return &s.ListenMetrics }),
+		address("grpc", "address for clients, HOST:PORT", func(s *Settings) *string { return &s.ListenGRPC }),
+		address("metrics", "address for Prometheus, HOST:PORT; off if not set", func(s *Settings) *string { return &s.ListenMetrics }),
 	}},
 	{"drain", []field{
-		period("grace", "nothing new goes to a node this long after its drain was told", 0, time.Hour, func(s *Settings) *time.Duration { return &s.DrainGrace }),
-		flag("only-listed", "a node that merely lacks in a list is not taken for gone", func(s *Settings) *bool { return &s.SoftRemoval }),
+		duration("grace", "time after its drain notice during which a node still gets new requests", 0, time.Hour, func(s *Settings) *time.Duration { return &s.DrainGrace }),
+		flag("only-listed", "a node that is merely missing from a list is not treated as removed", func(s *Settings) *bool { return &s.SoftRemoval }),
 	}},
 	{"cold", []field{
-		share("from", "share of its capacity that a node starts with", func(s *Settings) *float64 { return &s.ColdFrom }),
-		period("ramp", "after this it is warm; 0s: nodes start warm", 0, time.Hour, func(s *Settings) *time.Duration { return &s.RampTime }),
-		factor("tip", "sent more than this multiple of its present capacity", func(s *Settings) *float64 { return &s.TipMultiple }),
-		period("fall", "for so long, a cold node falls over", 0, time.Hour, func(s *Settings) *time.Duration { return &s.Fall }),
+		percentage("from", "share of its capacity that a cold node starts with", func(s *Settings) *float64 { return &s.ColdFrom }),
+		duration("ramp", "time until a started node is warm; 0s: nodes start warm", 0, time.Hour, func(s *Settings) *time.Duration { return &s.RampTime }),
+		factor("tip", "a cold node is overloaded above this multiple of its present capacity", func(s *Settings) *float64 { return &s.ColdOverloadMultiple }),
+		duration("fall", "time of such an overload after which a cold node fails", 0, time.Hour, func(s *Settings) *time.Duration { return &s.ColdOverloadTime }),
 	}},
 	{"attempts", []field{
-		number("limit", "most attempts of one request", 1, 255, func(s *Settings) *int { return &s.TryLimit }),
-		flag("parallel", "a request may have two attempts out", func(s *Settings) *bool { return &s.ParallelTries }),
+		integer("limit", "maximum attempts per request", 1, 255, func(s *Settings) *int { return &s.AttemptLimit }),
+		flag("parallel", "a request may have two attempts in flight", func(s *Settings) *bool { return &s.ParallelAttempts }),
 		flag("withdraw", "the driver may stop waiting for an attempt", func(s *Settings) *bool { return &s.Cancel }),
-		flag("cancel-work", "reads that nobody awaits are ended at the node", func(s *Settings) *bool { return &s.CancelWork }),
-		period("start-within", "a write that its node has not begun by then does not begin, by the node's own clock; 0s: no bound", 0, time.Hour, func(s *Settings) *time.Duration { return &s.StartWithin }),
-		period("dial-timeout", "a connection that is not up by then has failed", time.Millisecond, time.Minute, func(s *Settings) *time.Duration { return &s.DialTimeout }),
+		flag("cancel-work", "reads whose answer nobody awaits are canceled on the node", func(s *Settings) *bool { return &s.CancelWork }),
+		duration("start-within", "a write not started on its node within this time, by the node's clock, is not run; 0s: no bound", 0, time.Hour, func(s *Settings) *time.Duration { return &s.StartWithin }),
+		duration("dial-timeout", "time after which opening a connection has failed", time.Millisecond, time.Minute, func(s *Settings) *time.Duration { return &s.DialTimeout }),
 	}},
 	{"polls", []field{
-		flag("on", "nodes may be asked for role and position", func(s *Settings) *bool { return &s.Probing }),
-		period("timeout", "a poll without an answer by then has failed", time.Millisecond, time.Minute, func(s *Settings) *time.Duration { return &s.PollTimeout }),
-		period("clock-age", "the primary is asked with a replica if its log was not heard for so long", time.Millisecond, time.Minute, func(s *Settings) *time.Duration { return &s.ClockAge }),
+		flag("on", "nodes may be polled for role and log position", func(s *Settings) *bool { return &s.Probing }),
+		duration("timeout", "time after which an unanswered poll has failed", time.Millisecond, time.Minute, func(s *Settings) *time.Duration { return &s.PollTimeout }),
+		duration("clock-age", "a poll of a replica also polls the primary if the primary's known log position is older", time.Millisecond, time.Minute, func(s *Settings) *time.Duration { return &s.ClockAge }),
 	}},
 	{"answers", []field{
-		period("margin", "how long before the client gives up the final answer goes out", time.Millisecond, time.Second, func(s *Settings) *time.Duration { return &s.AnswerMargin }),
-		flag("retry-after", "refusals advise when to come back", func(s *Settings) *bool { return &s.RetryAfter }),
-		period("max-retry-after", "the longest such advice", 0, time.Hour, func(s *Settings) *time.Duration { return &s.MaxRetryAfter }),
+		duration("margin", "time before the client's deadline at which the final answer is sent", time.Millisecond, time.Second, func(s *Settings) *time.Duration { return &s.AnswerMargin }),
+		flag("retry-after", "refusals say when to retry", func(s *Settings) *bool { return &s.RetryAfter }),
+		duration("max-retry-after", "longest retry delay that they give", 0, time.Hour, func(s *Settings) *time.Duration { return &s.MaxRetryAfter }),
 	}},
 	{"replicas", []field{
-		choice("behind", "a read that a replica lags too far behind for", []string{"serve", "reject", "wait"}, func(s *Settings) *balance.Behind { return &s.Behind }),
-		period("catch-up", "how long a replica waits to catch up, with 'behind wait'", 0, time.Minute, func(s *Settings) *time.Duration { return &s.CatchUpWait }),
+		choice("behind", "treatment of a read for which a replica lags too far behind", []string{"serve", "reject", "wait"}, func(s *Settings) *balance.Behind { return &s.LagPolicy }),
+		duration("catch-up", "longest wait for a replica to catch up, with 'behind wait'", 0, time.Minute, func(s *Settings) *time.Duration { return &s.CatchUpWait }),
 		flag("positions", "answers carry log positions", func(s *Settings) *bool { return &s.Positions }),
-		flag("driver-sessions", "sessions are followed by this driver's own answers too", func(s *Settings) *bool { return &s.RouterTokens }),
-		period("origin", "the driver's clock time that positions count from", 0, 1000*time.Hour, func(s *Settings) *time.Duration { return &s.Origin }),
+		flag("driver-sessions", "sessions are also tracked by this driver's own answers", func(s *Settings) *bool { return &s.RouterTokens }),
+		duration("origin", "time on the driver's clock from which positions are counted", 0, 1000*time.Hour, func(s *Settings) *time.Duration { return &s.Origin }),
 	}},
 	{"list", []field{
-		flag("ask", "the list comes only when asked for", func(s *Settings) *bool { return &s.AskList }),
-		period("ask-within", "a driver that has not asked for so long counts as told", 0, time.Hour, func(s *Settings) *time.Duration { return &s.AskWithin }),
-		flag("roles", "the list shows roles, late", func(s *Settings) *bool { return &s.ListsRole }),
+		flag("ask", "the node list is sent only to drivers that subscribe to it", func(s *Settings) *bool { return &s.SubscribeToList }),
+		duration("ask-within", "time after which a driver that has not subscribed counts as notified", 0, time.Hour, func(s *Settings) *time.Duration { return &s.SubscribeWithin }),
+		flag("roles", "the list shows roles, with a delay", func(s *Settings) *bool { return &s.ListShowsRole }),
 	}},
 	{"admission", []field{
-		flag("on", "requests beyond what is answered in time are refused before anything is spent on them", func(s *Settings) *bool { return &s.AdmissionOn }),
-		number("start", "requests of a slice's primary, or of its replicas, that may be under way at first", 1, 1e6, func(s *Settings) *int { return &s.Admission.Start }),
-		number("least", "below which that does not fall", 1, 1e6, func(s *Settings) *int { return &s.Admission.Least }),
-		share("retries", "further attempts of clients that each first one earns", func(s *Settings) *float64 { return &s.Admission.Retries }),
-		period("late", "a loop that is later than this sheds work", time.Millisecond, time.Minute, func(s *Settings) *time.Duration { return &s.Admission.LoopLate }),
-		size("max-bytes", "bytes of requests held", 1<<20, 1<<40, func(s *Settings) *int { return &s.Admission.MaxBytes }),
-		size("answer-bytes", "bytes of answers on their way to clients", 1<<20, 1<<40, func(s *Settings) *int { return &s.AnswerBytes }),
-		size("memory", "of the process; work worth least is refused first as it nears this, all at it; 0: no bound", 0, 1<<40, func(s *Settings) *int { return &s.Memory }),
-		period("stall", "a streamed answer whose client reads nothing for so long is ended", 10*time.Millisecond, time.Hour, func(s *Settings) *time.Duration { return &s.StreamStall }),
-		number("streams", "calls and watches of all clients open at once; 0: as many as three eighths of memory hold", 0, 1e9, func(s *Settings) *int { return &s.Streams }),
-		number("max-streams", "calls of one client connection at once", 1, 1e9, func(s *Settings) *int { return &s.MaxStreams }),
+		flag("on", "requests that cannot be answered in time are refused before any work on them", func(s *Settings) *bool { return &s.AdmissionOn }),
+		integer("start", "initial limit of requests in flight to a slice's primary, or to its replicas", 1, 1e6, func(s *Settings) *int { return &s.Admission.Start }),
+		integer("least", "lower bound of this limit", 1, 1e6, func(s *Settings) *int { return &s.Admission.Least }),
+		percentage("retries", "further attempts of clients allowed per first attempt", func(s *Settings) *float64 { return &s.Admission.Retries }),
+		duration("late", "delay of the event loop above which load is shed", time.Millisecond, time.Minute, func(s *Settings) *time.Duration { return &s.Admission.LoopLate }),
+		size("max-bytes", "maximum size of all open requests", 1<<20, 1<<40, func(s *Settings) *int { return &s.Admission.MaxBytes }),
+		size("answer-bytes", "maximum size of all answers in flight to clients", 1<<20, 1<<40, func(s *Settings) *int { return &s.AnswerBytes }),
+		size("memory", "memory limit of the process: near it, work of low value is refused, at it all; 0: no bound", 0, 1<<40, func(s *Settings) *int { return &s.Memory }),
+		duration("stall", "time after which a streamed answer is aborted if its client reads nothing", 10*time.Millisecond, time.Hour, func(s *Settings) *time.Duration { return &s.StreamStall }),
+		integer("streams", "maximum calls and watches open at once; 0: as many as fit in three eighths of memory", 0, 1e9, func(s *Settings) *int { return &s.Streams }),
+		integer("max-streams", "maximum concurrent calls per client connection", 1, 1e9, func(s *Settings) *int { return &s.MaxStreams }),
 	}},
 	{"pool", []field{
-		number("max-open", "requests held at once; more are refused", 1, 1e7, func(s *Settings) *int { return &s.MaxOpen }),
-		number("size", "connections to one node", 1, 1e5, func(s *Settings) *int { return &s.PoolSize }),
-		period("idle-close", "unused connections are closed after it", time.Millisecond, 24*time.Hour, func(s *Settings) *time.Duration { return &s.IdleClose }),
-		period("linger", "a connection whose answer nobody awaits is closed after it", 0, time.Hour, func(s *Settings) *time.Duration { return &s.Linger }),
-		size("max-message", "longest message of a node", 1<<10, 1<<30, func(s *Settings) *int { return &s.MaxMessage }),
-		size("max-result", "longest result held for one answer", 1<<10, 1<<30, func(s *Settings) *int { return &s.MaxResult }),
-		text("database", "database to open", func(s *Settings) *string { return &s.Database }),
-		text("user", "user to be", func(s *Settings) *string { return &s.User }),
-		text("password-file", "file that holds the password, mode 0600", func(s *Settings) *string { return &s.PasswordFile }),
+		integer("max-open", "maximum open requests; more are refused", 1, 1e7, func(s *Settings) *int { return &s.MaxOpen }),
+		integer("size", "maximum connections per node", 1, 1e5, func(s *Settings) *int { return &s.PoolSize }),
+		duration("idle-close", "time after which an idle connection is closed", time.Millisecond, 24*time.Hour, func(s *Settings) *time.Duration { return &s.IdleClose }),
+		duration("linger", "time after which a connection is closed if nobody awaits its answer", 0, time.Hour, func(s *Settings) *time.Duration { return &s.Linger }),
+		size("max-message", "maximum size of one message from a node", 1<<10, 1<<30, func(s *Settings) *int { return &s.MaxMessage }),
+		size("max-result", "maximum size of a result that is held whole", 1<<10, 1<<30, func(s *Settings) *int { return &s.MaxResult }),
+		text("database", "database name", func(s *Settings) *string { return &s.Database }),
+		text("user", "database user", func(s *Settings) *string { return &s.User }),
+		text("password-file", "file with the password, mode 0600", func(s *Settings) *string { return &s.PasswordFile }),
 	}},
 	{"tokens", []field{
-		text("keys", "file with the keys that sign tokens, mode 0600; without it they are not signed", func(s *Settings) *string { return &s.TokenKeys }),
-		flag("bind-session", "a token is believed only with the session that it was given to", func(s *Settings) *bool { return &s.TokenScope }),
-		size("session-memory", "memory for the sessions that this driver follows itself", 1<<10, 1<<30, func(s *Settings) *int { return &s.SessionBytes }),
-		flag("history", "nodes are asked where timelines began, which tells tokens of lost writes", func(s *Settings) *bool { return &s.TokenHistory }),
+		text("keys", "file with the keys that sign tokens, mode 0600; tokens are unsigned if not set", func(s *Settings) *string { return &s.TokenKeys }),
+		flag("bind-session", "a token is valid only in the session that it was issued to", func(s *Settings) *bool { return &s.TokenScope }),
+		size("session-memory", "memory for the sessions that this driver tracks itself", 1<<10, 1<<30, func(s *Settings) *int { return &s.SessionBytes }),
+		flag("history", "nodes are queried for the start of timelines, to detect tokens of lost writes", func(s *Settings) *bool { return &s.TokenHistory }),
 	}},
 	{"stop", []field{
-		period("within", "on SIGTERM, what is held is answered within it", time.Millisecond, time.Hour, func(s *Settings) *time.Duration { return &s.StopWithin }),
+		duration("within", "time on SIGTERM for answering the open requests", time.Millisecond, time.Hour, func(s *Settings) *time.Duration { return &s.StopWithin }),
 	}},
 	{"log", []field{
-		oneWord("level", "least level written", []string{"debug", "info", "warn", "error"}, func(s *Settings) *string { return &s.LogLevel }),
-		oneWord("format", "form of the lines", []string{"console", "json"}, func(s *Settings) *string { return &s.LogFormat }),
-		period("repeat", "the same line is written again no sooner", 0, time.Hour, func(s *Settings) *time.Duration { return &s.LogRepeat }),
+		wordChoice("level", "lowest level that is logged", []string{"debug", "info", "warn", "error"}, func(s *Settings) *string { return &s.LogLevel }),
+		wordChoice("format", "format of log lines", []string{"console", "json"}, func(s *Settings) *string { return &s.LogFormat }),
+		duration("repeat", "minimum time between repeats of the same line", 0, time.Hour, func(s *Settings) *time.Duration { return &s.LogRepeat }),
 	}},
 }
 
-func text(name, doc string, at func(*Settings) *string) field {
-	return field{name, func(s *Settings, v string) error { *at(s) = v; return nil },
-		func(s *Settings) string { return quote(*at(s)) }, doc}
+func text(name, doc string, ptr func(*Settings) *string) field {
+	return field{name, func(s *Settings, v string) error { *ptr(s) = v; return nil },
+		func(s *Settings) string { return quote(*ptr(s)) }, doc}
 }
 
-// oneWord is a text that must be one of some words.
-func oneWord(name, doc string, words []string, at func(*Settings) *string) field {
+// wordChoice returns a field for a string that must be one of words.
+func wordChoice(name, doc string, words []string, ptr func(*Settings) *string) field {
 	return field{name, func(s *Settings, v string) error {
 		i, err := oneOf(v, words)
 		if err == nil {
-			*at(s) = words[i]
+			*ptr(s) = words[i]
 		}
 		return err
-	}, func(s *Settings) string { return *at(s) }, doc + " (" + strings.Join(words, ", ") + ")"}
+	}, func(s *Settings) string { return *ptr(s) }, doc + " (" + strings.Join(words, ", ") + ")"}
 }
 
-func choice[T ~uint8](name, doc string, words []string, at func(*Settings) *T) field {
+func choice[T ~uint8](name, doc string, words []string, ptr func(*Settings) *T) field {
 	return field{name, func(s *Settings, v string) error {
 		i, err := oneOf(v, words)
 		if err == nil {
-			*at(s) = T(i)
+			*ptr(s) = T(i)
 		}
 		return err
-	}, func(s *Settings) string { return words[*at(s)] }, doc + " (" + strings.Join(words, ", ") + ")"}
+	}, func(s *Settings) string { return words[*ptr(s)] }, doc + " (" + strings.Join(words, ", ") + ")"}
 }
 
-func address(name, doc string, at func(*Settings) *string) field {
+func address(name, doc string, ptr func(*Settings) *string) field {
 	return field{name, func(s *Settings, v string) error {
-		*at(s) = v
+		*ptr(s) = v
 		return checkAddress(v)
-	}, func(s *Settings) string { return quote(*at(s)) }, doc}
+	}, func(s *Settings) string { return quote(*ptr(s)) }, doc}
 }
 
-func flag(name, doc string, at func(*Settings) *bool) field {
+func flag(name, doc string, ptr func(*Settings) *bool) field {
 	return field{name, func(s *Settings, v string) error {
 		i, err := oneOf(v, []string{"off", "on"})
-		*at(s) = i == 1
+		*ptr(s) = i == 1
 		return err
-	}, func(s *Settings) string { return map[bool]string{false: "off", true: "on"}[*at(s)] }, doc + " (on, off)"}
+	}, func(s *Settings) string { return map[bool]string{false: "off", true: "on"}[*ptr(s)] }, doc + " (on, off)"}
 }
 
-func number(name, doc string, least, most int, at func(*Settings) *int) field {
+func integer(name, doc string, least, most int, ptr func(*Settings) *int) field {
 	return field{name, func(s *Settings, v string) error {
 		n, err := strconv.Atoi(v)
 		if err != nil {
-			return fmt.Errorf("%q is no whole number", v)
+			return fmt.Errorf("%q is not a whole number", v)
 		}
-		*at(s) = n
-		return within(n, least, most)
-	}, func(s *Settings) string { return strconv.Itoa(*at(s)) }, doc}
+		*ptr(s) = n
+		return checkRange(n, least, most)
+	}, func(s *Settings) string { return strconv.Itoa(*ptr(s)) }, doc}
 }
 
-func size(name, doc string, least, most int, at func(*Settings) *int) field {
+func size(name, doc string, least, most int, ptr func(*Settings) *int) field {
 	return field{name, func(s *Settings, v string) error {
 		n, err := parseSize(v)
 		if err != nil {
 			return err
 		}
-		*at(s) = n
-		return within(n, least, most)
-	}, func(s *Settings) string { return showSize(*at(s)) }, doc}
+		*ptr(s) = n
+		return checkRange(n, least, most)
+	}, func(s *Settings) string { return formatSize(*ptr(s)) }, doc}
 }
 
-func within(n, least, most int) error {
+func checkRange(n, least, most int) error {
 	if n < least || n > most {
-		return fmt.Errorf("%d is not within %d and %d", n, least, most)
+		return fmt.Errorf("%d is not in the range %d to %d", n, least, most)
 	}
 	return nil
 }
 
-func period(name, doc string, least, most time.Duration, at func(*Settings) *time.Duration) field {
+func duration(name, doc string, least, most time.Duration, ptr func(*Settings) *time.Duration) field {
 	return field{name, func(s *Settings, v string) error {
-		d, err := parsePeriod(v)
+		d, err := parseDuration(v)
 		if err != nil {
 			return err
 		}
-		*at(s) = d
+		*ptr(s) = d
 		if d < least || d > most {
-			return fmt.Errorf("%v is not within %v and %v", d, least, most)
+			return fmt.Errorf("%v is not in the range %v to %v", d, least, most)
 		}
 		return nil
-	}, func(s *Settings) string { return showPeriod(*at(s)) }, doc}
+	}, func(s *Settings) string { return formatDuration(*ptr(s)) }, doc}
 }
 
-func share(name, doc string, at func(*Settings) *float64) field {
+func percentage(name, doc string, ptr func(*Settings) *float64) field {
 	return field{name, func(s *Settings, v string) error {
 		percent, ok := strings.CutSuffix(v, "%")
 		f, err := strconv.ParseFloat(percent, 64)
 		if err != nil || !ok || math.IsNaN(f) || f < 0 || f > 100 {
-			return fmt.Errorf("%q is no share; write one from 0%% to 100%%, with the sign", v)
+			return fmt.Errorf("%q is not a percentage; write one from 0%% to 100%%, with the percent sign", v)
 		}
-		*at(s) = f / 100
+		*ptr(s) = f / 100
 		return nil
-	}, func(s *Settings) string { return strconv.FormatFloat(*at(s)*100, 'g', 12, 64) + "%" }, doc}
+	}, func(s *Settings) string { return strconv.FormatFloat(*ptr(s)*100, 'g', 12, 64) + "%" }, doc}
 }
 
-func factor(name, doc string, at func(*Settings) *float64) field {
+func factor(name, doc string, ptr func(*Settings) *float64) field {
 	return field{name, func(s *Settings, v string) error {
 		f, err := strconv.ParseFloat(v, 64)
 		if err != nil || math.IsNaN(f) || f < 0 || f > 1e6 {
-			return fmt.Errorf("%q is no number from 0 to 1000000", v)
+			return fmt.Errorf("%q is not a number from 0 to 1000000", v)
 		}
-		*at(s) = f
+		*ptr(s) = f
 		return nil
-	}, func(s *Settings) string { return strconv.FormatFloat(*at(s), 'g', -1, 64) }, doc}
+	}, func(s *Settings) string { return strconv.FormatFloat(*ptr(s), 'g', -1, 64) }, doc}
 }
 
 func oneOf(v string, words []string) (int, error) {
@@ -245,27 +246,27 @@
 		}
 	}
 	if n := nearest(v, words); n != "" {
-		return 0, fmt.Errorf("%q is no choice; did you mean %q?", v, n)
+		return 0, fmt.Errorf("%q is not a valid value; did you mean %q?", v, n)
 	}
-	return 0, fmt.Errorf("%q is no choice; write one of %s", v, strings.Join(words, ", "))
+	return 0, fmt.Errorf("%q is not a valid value; write one of %s", v, strings.Join(words, ", "))
 }
 
-// parsePeriod reads a time with its unit, such as 250ms or 1.5s. A bare number is refused, 0 too.
-func parsePeriod(v string) (time.Duration, error) {
+// parseDuration parses a duration with its unit, such as 250ms or 1.5s. A number without a unit is an error, even 0.
+func parseDuration(v string) (time.Duration, error) {
 	d, err := time.ParseDuration(v)
 	if _, bare := strconv.ParseFloat(v, 64); bare == nil {
-		return 0, fmt.Errorf("%q has no unit; write %sms, %ss or the like", v, v, v)
+		return 0, fmt.Errorf("%q has no unit; write %sms or %ss, for example", v, v, v)
 	}
 	if err != nil {
-		return 0, fmt.Errorf("%q is no time; write one like 250ms or 1.5s", v)
+		return 0, fmt.Errorf("%q is not a duration; write one like 250ms or 1.5s", v)
 	}
 	if d < 0 {
-		return 0, fmt.Errorf("%q is less than nothing", v)
+		return 0, fmt.Errorf("%q is negative; write 0s or more", v)
 	}
 	return d, nil
 }
 
-func showPeriod(d time.Duration) string {
+func formatDuration(d time.Duration) string {
 	s := d.String()
 	if strings.HasSuffix(s, "m0s") {
 		s = strings.TrimSuffix(s, "0s")
@@ -276,7 +277,7 @@
 	return s
 }
 
-var units = []struct {
+var sizeUnits = []struct {
 	suffix string
 	bytes  int
 }{{"KiB", 1 << 10}, {"MiB", 1 << 20}, {"GiB", 1 << 30}}
@@ -285,7 +286,7 @@
 	if v == "0" {
 		return 0, nil
 	}
-	for _, u := range units {
+	for _, u := range sizeUnits {
 		if digits, ok := strings.CutSuffix(v, u.suffix); ok {
 			n, err := strconv.Atoi(digits)
 			if err != nil || n < 0 || n > math.MaxInt32 {
@@ -294,13 +295,13 @@
 			return n * u.bytes, nil
 		}
 	}
-	return 0, fmt.Errorf("%q is no size; write one like 64KiB or 16MiB", v)
+	return 0, fmt.Errorf("%q is not a size; write one like 64KiB or 16MiB", v)
 }
 
-func showSize(n int) string {
-	for i := len(units) - 1; i >= 0; i-- {
-		if n%units[i].bytes == 0 && n > 0 {
-			return strconv.Itoa(n/units[i].bytes) + units[i].suffix
+func formatSize(n int) string {
+	for i := len(sizeUnits) - 1; i >= 0; i-- {
+		if n%sizeUnits[i].bytes == 0 && n > 0 {
+			return strconv.Itoa(n/sizeUnits[i].bytes) + sizeUnits[i].suffix
 		}
 	}
 	return strconv.Itoa(n)
@@ -316,13 +317,13 @@
 func checkAddress(v string) error {
 	host, port, err := net.SplitHostPort(v)
 	if err != nil {
-		return fmt.Errorf("%q is no address; write HOST:PORT", v)
+		return fmt.Errorf("%q is not an address; write HOST:PORT", v)
 	}
 	if n, err := strconv.Atoi(port); err != nil || n < 0 || n > 65535 {
-		return fmt.Errorf("port %q of %q is not within 0 and 65535", port, v)
+		return fmt.Errorf("port %q of %q is not a number from 0 to 65535", port, v)
 	}
 	if host == "" {
-		return fmt.Errorf("%q names no host; write 127.0.0.1:%s to listen on this machine only", v, port)
+		return fmt.Errorf("%q has no host; write 127.0.0.1:%s for this machine only", v, port)
 	}
 	return nil
 }
--- a/settings/parse.go
+++ b/settings/parse.go
@@ -1,5 +1,6 @@
-// Package settings reads a driver's settings: a file of lines in the manner of classic daemons, each a
-// directive with its arguments, some of them blocks in braces.
+// Package settings reads the settings file of a driver: directives, one per line, some of them with a block in braces. Read and
+// Parse return Settings, or every problem of the file at once, each with file, line and column. The command line calls them;
+// the server runs with the result and the laboratory builds its drivers from it.
 //
 //	# a comment
 //	hall reykjavik-a hafnarfjordur-b
@@ -8,8 +9,6 @@
 //	    need   write
 //	    target 500ms
 //	}
-//
-// Reading never stops at the first mistake: Parse returns all of them, each with file, line and column.
 package settings
 
 import (
@@ -21,10 +20,10 @@
 	"umberladder/internal/words"
 )
 
-// Problem is one mistake in a settings file.
+// Problem is one mistake in a settings file, with its position.
 type Problem = lines.Problem
 
-// Problems is every mistake of a file, in its order.
+// Problems lists every mistake of a file, sorted by line and column.
 type Problems = lines.Problems
 
 type (
@@ -32,7 +31,7 @@
 	directive = lines.Directive
 )
 
-// Read reads and checks the file at a path. The error is Problems, or what the system said of the file.
+// Read reads and checks the settings file at path. The error is Problems, or wraps that of os.ReadFile.
 func Read(path string) (*Settings, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -41,7 +40,7 @@
 	return Parse(path, string(text))
 }
 
-// Parse reads and checks settings; file is what problems name. The error, if any, is Problems.
+// Parse parses and checks the text of a settings file. Problems carry the name file. The error, if any, is Problems.
 func Parse(file, text string) (*Settings, error) {
 	p := lines.NewParser(file, text)
 	tree := p.Tree()
@@ -55,11 +54,11 @@
 	return s, nil
 }
 
-// IsProblems tells whether err is a list of mistakes in a file, as against a file that can't be read.
+// IsProblems reports whether err is or wraps Problems, that is, the file could be read but has mistakes.
 func IsProblems(err error) bool {
 	var p Problems
 	return errors.As(err, &p)
 }
 
-// nearest is the known name that a mistyped one was most likely meant to be, "" if none is near.
+// nearest returns the known name most similar to name, or "" if none is similar.
 func nearest(name string, known []string) string { return words.Nearest(name, known, 1+len(name)/3) }
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -8,107 +8,107 @@
 	"umberladder/membership"
 )
 
-// Node is one db node named by a node directive.
+// Node is one database node, from a node directive or from an inventory.
 type Node struct {
 	Name    string
 	Address string // host:port
 	Slice   string
 	Hall    string
 	Life    balance.Life
-	Started time.Time // of its process; zero if not told
-	// Instance tells one life of a name from the next; see package membership.
+	Started time.Time // start of its database process; zero if unknown
+	// Instance grows when the node must be treated as a new one; see membership.Member.
 	Instance int
-	Line     int // where it stands
+	Line     int // line of its directive, from 1; 0 for a node of an inventory
 }
 
-// Class is one class of request.
+// Class is one class of requests, from a class block.
 type Class struct {
 	Name      string
 	Effect    balance.Effect
 	Scope     balance.Scope
 	Need      balance.Need
-	Bound     time.Duration // age allowed, for NeedBounded
+	Bound     time.Duration // maximum age of the data, for NeedBounded
 	Target    time.Duration
 	Deadline  time.Duration
-	Window    time.Duration // how long repeats of a keyed request are discarded
-	Worth     float64
-	LateWorth float64
-	Tokenless Tokenless // what becomes of a session read whose token is not there
+	Window    time.Duration      // time for which nodes discard repeats of a keyed request
+	Value     float64            // of an answer by Target, relative to other classes
+	LateValue float64            // share of it, 0 to 1, for an answer after Target
+	Tokenless MissingTokenPolicy // for session reads
 }
 
-// Tokenless is what becomes of a session read that comes without its token.
-type Tokenless uint8
+// MissingTokenPolicy says how a session read that has no token is treated.
+type MissingTokenPolicy uint8
 
-// The ways to treat it.
+// The policies for a missing token.
 const (
-	TokenlessAccept  Tokenless = iota // as a session that wrote nothing
-	TokenlessPrimary                  // it asks for the present
-	TokenlessRefuse                   // the client must present one
+	MissingTokenAccept  MissingTokenPolicy = iota // as a read of a session that wrote nothing
+	MissingTokenPrimary                           // read the current state, from the primary
+	MissingTokenRefuse                            // refuse the request
 )
 
-// Settings is all that a driver is told by its file. Each field's directive is in the table of fields.go.
+// Settings holds the contents of a settings file. The table in fields.go maps fields to directives.
 type Settings struct {
 	Halls   []string
-	Here    string // own hall
+	Zone    string // zone that the driver runs in; "" if the file lists no halls
 	Classes []Class
 	Nodes   []Node
 
-	Inventory    []string // files and directories that hold the list of nodes
-	StateDir     string   // where the last good inventory is kept; "" for nowhere
+	Inventory    []string // files and directories with the list of nodes
+	StateDir     string   // directory for the last good inventory; "" for none
 	Control      string   // path of the control socket; "" for none
 	Members      membership.Config
-	LeastMembers int // nodes that each slice of the inventory needs
+	LeastMembers int // minimum number of nodes in each slice of the inventory
 
-	TokenKeys    string // file of the keys that sign tokens; "" for unsigned ones
-	TokenScope   bool   // a token is believed only with the session that it was given to
-	SessionBytes int    // memory for sessions that the driver follows itself
-	TokenHistory bool   // nodes are asked where timelines began, which tells tokens of lost writes
+	TokenKeys    string // file with the keys that sign tokens; "" for unsigned tokens
+	TokenScope   bool   // a token is valid only in the session that it was issued to
+	SessionBytes int    // memory for sessions that the driver tracks itself
+	TokenHistory bool   // query nodes for the start positions of timelines, to detect tokens of lost writes
 
 	ListenGRPC    string
 	ListenMetrics string
 
-	Routers       int
-	Round         time.Duration
-	Origin        time.Duration
-	Positions     bool
-	Behind        balance.Behind
-	CatchUpWait   time.Duration
-	RouterTokens  bool
-	AskList       bool
-	AskWithin     time.Duration
-	ListsRole     bool
-	DrainGrace    time.Duration
-	SoftRemoval   bool
-	ColdFrom      float64 // share of capacity
-	RampTime      time.Duration
-	TipMultiple   float64
-	Fall          time.Duration
-	Cancel        bool
-	Probing       bool
-	ParallelTries bool
-	TryLimit      int
-	DialTimeout   time.Duration
-	RetryAfter    bool
-	MaxRetryAfter time.Duration
-	StartWithin   time.Duration // a write that its node has not begun by then does not begin; 0 for no bound
-	AnswerMargin  time.Duration // answers go out this long before the client gives up
-	ClockAge      time.Duration // a poll of a replica asks the primary too if its log was not heard for so long
+	Routers              int
+	MinBatchInterval     time.Duration
+	Origin               time.Duration
+	Positions            bool
+	LagPolicy            balance.Behind
+	CatchUpWait          time.Duration
+	RouterTokens         bool
+	SubscribeToList      bool
+	SubscribeWithin      time.Duration
+	ListShowsRole        bool
+	DrainGrace           time.Duration
+	SoftRemoval          bool
+	ColdFrom             float64 // share of its capacity, 0 to 1, that a cold node starts with
+	RampTime             time.Duration
+	ColdOverloadMultiple float64
+	ColdOverloadTime     time.Duration
+	Cancel               bool
+	Probing              bool
+	ParallelAttempts     bool
+	AttemptLimit         int
+	DialTimeout          time.Duration
+	RetryAfter           bool
+	MaxRetryAfter        time.Duration
+	StartWithin          time.Duration // a write that its node has not started by then is not run; 0 for no bound
+	AnswerMargin         time.Duration // answers are sent this long before the client's deadline
+	ClockAge             time.Duration // a poll of a replica also polls the primary if the primary's log position is older
 
 	AdmissionOn bool
-	Admission   admission.Config // classes, MaxOpen and MaxAdvice are those of the settings
-
-	AnswerBytes  int           // of answers on their way to clients
-	Memory       int           // bytes that the process may take up; 0 for as many as there are
-	StreamStall  time.Duration // a streamed answer whose client reads nothing for so long is ended
-	Streams      int           // calls and watches open at once, 0 for as many as memory holds
-	MaxStreams   int           // calls of one client connection at once
-	MaxOpen      int           // requests held at once
-	PoolSize     int           // connections to one db node
+	Admission   admission.Config // without classes, MaxOpen and MaxAdvice, which are set from other fields
+
+	AnswerBytes  int           // maximum bytes of answers in flight to clients
+	Memory       int           // maximum bytes of the process; 0 for no bound
+	StreamStall  time.Duration // a streamed answer is aborted when its client reads nothing for this time
+	Streams      int           // maximum calls and watches open at once; 0: derived from Memory
+	MaxStreams   int           // maximum concurrent calls per client connection
+	MaxOpen      int           // maximum requests open at once
+	PoolSize     int           // maximum connections per node
 	IdleClose    time.Duration
-	Linger       time.Duration // how long a connection may go on with work that nobody awaits
+	Linger       time.Duration // a connection busy with an answer that nobody awaits is closed after this time
 	PollTimeout  time.Duration
 	MaxMessage   int // bytes
-	MaxResult    int // bytes of one whole result
+	MaxResult    int // bytes of a result that is held whole
 	CancelWork   bool
 	Database     string
 	User         string
@@ -120,13 +120,13 @@
 	LogRepeat time.Duration
 }
 
-// Defaults is what holds for directives that a file doesn't have.
+// Defaults returns the settings for a file without directives.
 func Defaults() *Settings {
 	return &Settings{
 		ListenGRPC: "127.0.0.1:7432", Members: membership.Defaults(), LeastMembers: 1, SessionBytes: 32 << 20,
-		Round: time.Millisecond, Positions: true, AskWithin: 10 * time.Second,
-		DrainGrace: 500 * time.Millisecond, ColdFrom: 0.2, RampTime: 12 * time.Second, TipMultiple: 3,
-		Fall: time.Second, Cancel: true, Probing: true, TryLimit: 10, DialTimeout: 250 * time.Millisecond,
+		MinBatchInterval: time.Millisecond, Positions: true, SubscribeWithin: 10 * time.Second,
+		DrainGrace: 500 * time.Millisecond, ColdFrom: 0.2, RampTime: 12 * time.Second, ColdOverloadMultiple: 3,
+		ColdOverloadTime: time.Second, Cancel: true, Probing: true, AttemptLimit: 10, DialTimeout: 250 * time.Millisecond,
 		RetryAfter: true, MaxRetryAfter: time.Second, StartWithin: time.Second, AnswerMargin: 20 * time.Millisecond,
 		ClockAge:    50 * time.Millisecond,
 		AdmissionOn: true, Admission: admission.Defaults(), MaxStreams: 10000, StreamStall: 10 * time.Second, AnswerBytes: 256 << 20,
@@ -137,7 +137,7 @@
 	}
 }
 
-// Within is a bound on a part of the memory, cut to an eighth of all where that is bounded.
+// Within returns bytes, or an eighth of the memory limit if there is one and it is less.
 func (s *Settings) Within(bytes int) int {
 	if s.Memory == 0 {
 		return bytes
@@ -145,20 +145,20 @@
 	return min(bytes, s.Memory/8)
 }
 
-// Router is the part of the settings that the module is told. Times of answers are those of a client that is
-// to hear before it gives up: deadlines handed to the module lie AnswerMargin earlier, and its slack is that.
+// Router returns the configuration of the routing module. Its AnswerSlack is AnswerMargin, for callers give the module
+// deadlines that are AnswerMargin before those of the client.
 func (s *Settings) Router() balance.Config {
 	cfg := balance.Config{
-		Zone: max(0, indexOf(s.Halls, s.Here)), Routers: s.Routers, Round: s.Round, Origin: s.Origin,
-		Positions: s.Positions, Behind: s.Behind, CatchUpWait: s.CatchUpWait, RouterTokens: s.RouterTokens,
-		AskList: s.AskList, AskWithin: s.AskWithin, DrainGrace: s.DrainGrace, SoftRemoval: s.SoftRemoval,
-		AnswerSlack: s.AnswerMargin, ColdFrom: s.ColdFrom, RampTime: s.RampTime, TipMultiple: s.TipMultiple,
-		Fall: s.Fall, Cancel: s.Cancel, Probing: s.Probing, ParallelTries: s.ParallelTries, TryLimit: s.TryLimit,
-		RetryAfter: s.RetryAfter, MaxRetryAfter: s.MaxRetryAfter, DialTimeout: s.DialTimeout, ListsRole: s.ListsRole,
+		Zone: max(0, indexOf(s.Halls, s.Zone)), Routers: s.Routers, Round: s.MinBatchInterval, Origin: s.Origin,
+		Positions: s.Positions, Behind: s.LagPolicy, CatchUpWait: s.CatchUpWait, RouterTokens: s.RouterTokens,
+		AskList: s.SubscribeToList, AskWithin: s.SubscribeWithin, DrainGrace: s.DrainGrace, SoftRemoval: s.SoftRemoval,
+		AnswerSlack: s.AnswerMargin, ColdFrom: s.ColdFrom, RampTime: s.RampTime, TipMultiple: s.ColdOverloadMultiple,
+		Fall: s.ColdOverloadTime, Cancel: s.Cancel, Probing: s.Probing, ParallelTries: s.ParallelAttempts, TryLimit: s.AttemptLimit,
+		RetryAfter: s.RetryAfter, MaxRetryAfter: s.MaxRetryAfter, DialTimeout: s.DialTimeout, ListsRole: s.ListShowsRole,
 	}
 	for _, c := range s.Classes {
 		cfg.Classes = append(cfg.Classes, balance.Class{Name: c.Name, Effect: c.Effect, Scope: c.Scope, Need: c.Need,
-			Target: c.Target, Deadline: c.Deadline, Window: c.Window, Bound: c.Bound, Worth: c.Worth, LateWorth: c.LateWorth})
+			Target: c.Target, Deadline: c.Deadline, Window: c.Window, Bound: c.Bound, Worth: c.Value, LateWorth: c.LateValue})
 	}
 	return cfg
 }
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-// full sets every directive to something other than its default.
+// full sets every directive to a value other than its default.
 const full = `
 hall reykjavik-a "hafnarfjordur b" # two halls
 here "hafnarfjordur b"
@@ -145,20 +145,21 @@
 	return s
 }
 
-// TestEveryFieldCanBeSet sets each directive and looks that each field of the module's Config came to differ.
+// TestEveryFieldCanBeSet sets each directive and checks that each field of Settings and of the routing module's Config
+// changes. It guards against a field without a directive.
 func TestEveryFieldCanBeSet(t *testing.T) {
 	s := parse(t, full)
-	plain := Defaults()
-	got, def := reflect.ValueOf(s.Router()), reflect.ValueOf(plain.Router())
+	defaults := Defaults()
+	got, def := reflect.ValueOf(s.Router()), reflect.ValueOf(defaults.Router())
 	for i := range got.NumField() {
 		if reflect.DeepEqual(got.Field(i).Interface(), def.Field(i).Interface()) {
 			t.Errorf("balance.Config.%s can't be set", got.Type().Field(i).Name)
 		}
 	}
-	own, d := reflect.ValueOf(*s), reflect.ValueOf(*plain)
+	own, d := reflect.ValueOf(*s), reflect.ValueOf(*defaults)
 	for i := range own.NumField() {
 		if own.Type().Field(i).Name == "Inventory" {
-			continue // not beside node lines; TestInventory has it
+			continue // excluded by node directives; TestInventory covers it
 		}
 		if reflect.DeepEqual(own.Field(i).Interface(), d.Field(i).Interface()) {
 			t.Errorf("Settings.%s can't be set", own.Type().Field(i).Name)
@@ -178,7 +179,7 @@
 			back.Nodes[i].Line = s.Nodes[i].Line
 		}
 		if !reflect.DeepEqual(s, back) {
-			t.Errorf("settings changed on the way:\n%+v\n%+v\n%s", s, back, shown.String())
+			t.Errorf("settings differ after Show and Parse:\n%+v\n%+v\n%s", s, back, shown.String())
 		}
 	}
 }
@@ -194,27 +195,27 @@
 	if back := parse(t, shown.String()); !reflect.DeepEqual(back.Inventory, s.Inventory) {
 		t.Errorf("read back as %q", back.Inventory)
 	}
-	if _, err := Parse("f", class+"inventory x\nnode a 127.0.0.1:1 slice=s\n"); err == nil || !strings.Contains(err.Error(), "from the inventory of line 7") {
-		t.Errorf("nodes beside an inventory: %v", err)
+	if _, err := Parse("f", class+"inventory x\nnode a 127.0.0.1:1 slice=s\n"); err == nil || !strings.Contains(err.Error(), "from the inventory on line 7") {
+		t.Errorf("nodes with an inventory: %v", err)
 	}
 }
 
-// TestMistakes names each mistake with its place.
+// TestMistakes checks the position and the message of each mistake.
 func TestMistakes(t *testing.T) {
 	const class = "class a {\neffect safe\nneed any\ntarget 1s\ndeadline 2s\n}\n"
 	for _, c := range []struct{ text, want string }{
-		{"", "test.conf:1:1: no class is set"},
+		{"", "test.conf:1:1: no class is defined"},
 		{class + "lisen grpc 127.0.0.1:1", `7:1: unknown directive "lisen"; did you mean "listen"?`},
 		{class + "listen grpcc 127.0.0.1:1", `7:8: unknown directive "grpcc"; did you mean "grpc"?`},
 		{class + "drain grace 500", `7:13: drain grace: "500" has no unit`},
-		{class + "drain grace fast", `7:13: drain grace: "fast" is no time`},
-		{class + "drain grace -1s", `is less than nothing`},
-		{class + "cold from 0.2", `7:11: cold from: "0.2" is no share`},
-		{class + "pool max-message 64", `"64" is no size`},
-		{class + "pool size 0", `7:11: pool size: 0 is not within 1 and 100000`},
-		{class + "attempts parallel yes", `"yes" is no choice`},
+		{class + "drain grace fast", `7:13: drain grace: "fast" is not a duration`},
+		{class + "drain grace -1s", `is negative; write 0s or more`},
+		{class + "cold from 0.2", `7:11: cold from: "0.2" is not a percentage`},
+		{class + "pool max-message 64", `"64" is not a size`},
+		{class + "pool size 0", `7:11: pool size: 0 is not in the range 1 to 100000`},
+		{class + "attempts parallel yes", `"yes" is not a valid value`},
 		{class + "replicas behind rejct", `did you mean "reject"?`},
-		{class + "round 2ms\nround 3ms", `8:1: round was set in line 7 already`},
+		{class + "round 2ms\nround 3ms", `8:1: round is already set on line 7`},
 		{class + "drain {\ngrace 1s\n", `7:7: this block is never closed`},
 		{class + "}", `7:1: closing brace without a block`},
 		{class + "listen { grpc 127.0.0.1:1 }", `misplaced brace`},
@@ -222,23 +223,23 @@
 		{class + "pool user a b", `7:13: user takes one value`},
 		{class + "round", `7:1: round needs a value`},
 		{class + "round {\n}", `round takes a value, not a block`},
-		{class + "listen grpc :99", `names no host`},
+		{class + "listen grpc :99", `has no host`},
 		{class + "listen grpc 127.0.0.1:99999", `port "99999"`},
-		{class + "hall x", `7:6: halls are named, but not which one this driver is in`},
-		{class + "hall north south\nhere noth", `8:1: hall "noth" is not among the halls; did you mean "north"?`},
-		{class + "node a 127.0.0.1:1", `7:6: node "a" lacks slice=NAME`},
-		{class + "node a 127.0.0.1:1 slice=s\nnode a 127.0.0.1:2 slice=s", `8:6: node "a" stands in line 7 already`},
-		{class + "node a 127.0.0.1:1 slice=s\nnode b 127.0.0.1:1 slice=s", `8:8: address 127.0.0.1:1 is node "a"'s in line 7`},
+		{class + "hall x", `7:6: halls are listed, but not the one that this driver runs in`},
+		{class + "hall north south\nhere noth", `8:1: hall "noth" is not listed by a hall directive; did you mean "north"?`},
+		{class + "node a 127.0.0.1:1", `7:6: node "a" has no slice=NAME`},
+		{class + "node a 127.0.0.1:1 slice=s\nnode a 127.0.0.1:2 slice=s", `8:6: node "a" is already defined on line 7`},
+		{class + "node a 127.0.0.1:1 slice=s\nnode b 127.0.0.1:1 slice=s", `8:8: address 127.0.0.1:1 is already used by node "a" on line 7`},
 		{class + "node a 127.0.0.1:1 slce=s", `7:20: unknown directive "slce"; did you mean "slice"?`},
 		{class + "node a 127.0.0.1:1 slice=s state=redy", `did you mean "ready"?`},
-		{class + "node a 127.0.0.1:1 slice=s started=yesterday", `"yesterday" is no time`},
-		{class + class, `7:7: class "a" stands in line 1 already`},
-		{"class a {\n}", `1:7: class "a" lacks deadline`},
-		{"class a {\neffect keyed\nneed write\ntarget 1s\ndeadline 2s\n}", `is keyed and lacks window`},
-		{"class a {\neffect safe\nneed write\ntarget 1s\ndeadline 2s\n}", `a write that is safe to repeat`},
-		{"class a {\neffect safe\nneed bounded\ntarget 1s\ndeadline 2s\n}", `3:6: need bounded wants the age allowed`},
-		{"class a {\neffect safe\nneed any\ntarget 3s\ndeadline 2s\n}", `deadline 2s is before its target 3s`},
-		{"class a {\neffect safe\nneed any\ntarget 3ms\ndeadline 20ms\n}", `leaves no time beside the answer margin`},
+		{class + "node a 127.0.0.1:1 slice=s started=yesterday", `"yesterday" is not an RFC 3339 time`},
+		{class + class, `7:7: class "a" is already defined on line 1`},
+		{"class a {\n}", `1:7: class "a" has no deadline`},
+		{"class a {\neffect keyed\nneed write\ntarget 1s\ndeadline 2s\n}", `is keyed and has no window`},
+		{"class a {\neffect safe\nneed write\ntarget 1s\ndeadline 2s\n}", `'need write' goes with 'effect keyed' or 'effect unsafe', not with 'effect safe'`},
+		{"class a {\neffect safe\nneed bounded\ntarget 1s\ndeadline 2s\n}", `3:6: need bounded requires a maximum age`},
+		{"class a {\neffect safe\nneed any\ntarget 3s\ndeadline 2s\n}", `deadline 2s is shorter than its target 3s`},
+		{"class a {\neffect safe\nneed any\ntarget 3ms\ndeadline 20ms\n}", `must be longer than twice the answer margin`},
 		{"class a {\nefect safe\n}", `2:1: unknown directive "efect"; did you mean "effect"?`},
 		{"caf\xe9", "test.conf:1:1: not UTF-8 text"},
 		{"a\nb\x00", "test.conf:2:1: not UTF-8 text"},
@@ -250,7 +251,7 @@
 	}
 }
 
-// TestAllMistakesAtOnce shows that one does not hide the others.
+// TestAllMistakesAtOnce checks that one mistake does not hide the others.
 func TestAllMistakesAtOnce(t *testing.T) {
 	_, err := Parse("f", "rond 1ms\nclass a {\neffect maybe\nneed never\n}\ndrain grace 3\n")
 	problems, ok := err.(Problems)
@@ -264,7 +265,8 @@
 	}
 }
 
-// TestAnyTextGetsAnAnswer throws pieces of settings together; every problem must lie within the text.
+// TestAnyTextGetsAnAnswer parses random sequences of words from a settings file. Parse must return either settings or an
+// error, and every problem must lie within the text.
 func TestAnyTextGetsAnAnswer(t *testing.T) {
 	pieces := append(strings.Fields(full), "{", "}", "\n", "\n", "\"", "#", "\\", "=", "\r\n", "\t")
 	rapid.Check(t, func(t *rapid.T) {
@@ -276,7 +278,7 @@
 		problems, _ := err.(Problems)
 		for _, p := range problems {
 			if p.Line < 1 || p.Column < 1 || p.Line > 1+strings.Count(text, "\n") {
-				t.Fatalf("%q: problem at no place: %v", text, p)
+				t.Fatalf("%q: position of a problem is outside the text: %v", text, p)
 			}
 		}
 	})
--- a/settings/show.go
+++ b/settings/show.go
@@ -9,7 +9,8 @@
 	"umberladder/balance"
 )
 
-// Show writes the effective settings as a file that Parse reads back. Values that are defaults are marked.
+// Show writes the effective settings to w in a form that Parse accepts, with the purpose of each directive in a comment.
+// Defaults are marked [default]. The error is that of w.
 func (s *Settings) Show(w io.Writer) error {
 	var b strings.Builder
 	if len(s.Halls) > 0 {
@@ -31,7 +32,7 @@
 				note += " [default]"
 			}
 			if f.show(s) == `""` {
-				line = indent + "# " + f.name // not set, and no text can say so
+				line = indent + "# " + f.name // a comment, for no text sets an empty value
 			}
 			fmt.Fprintf(&b, "%-34s # %s\n", line, note)
 		}
@@ -61,17 +62,17 @@
 	fmt.Fprintf(b, "class %s {\n", quote(c.Name))
 	fmt.Fprintf(b, "    effect %s\n", [...]string{"safe", "keyed", "unsafe"}[c.Effect])
 	if c.Effect == balance.Keyed {
-		fmt.Fprintf(b, "    scope %s\n    window %s\n", [...]string{"slice", "hall", "all"}[c.Scope], showPeriod(c.Window))
+		fmt.Fprintf(b, "    scope %s\n    window %s\n", [...]string{"slice", "hall", "all"}[c.Scope], formatDuration(c.Window))
 	}
-	fmt.Fprintf(b, "    need %s", needs[c.Need])
+	fmt.Fprintf(b, "    need %s", needNames[c.Need])
 	if c.Need == balance.NeedBounded {
-		fmt.Fprintf(b, " %s", showPeriod(c.Bound))
+		fmt.Fprintf(b, " %s", formatDuration(c.Bound))
 	}
-	if c.Tokenless != TokenlessAccept {
+	if c.Tokenless != MissingTokenAccept {
 		fmt.Fprintf(b, "\n    without-token %s", [...]string{"accept", "primary", "refuse"}[c.Tokenless])
 	}
 	fmt.Fprintf(b, "\n    target %s\n    deadline %s\n    worth %g\n    late-worth %g%%\n}\n",
-		showPeriod(c.Target), showPeriod(c.Deadline), c.Worth, c.LateWorth*100)
+		formatDuration(c.Target), formatDuration(c.Deadline), c.Value, c.LateValue*100)
 }
 
 func (n Node) show(b *strings.Builder) {
