--- a/inventory/ansible.go
+++ b/inventory/ansible.go
@@ -10,13 +10,14 @@
 	"go.yaml.in/yaml/v3"
 )
 
-// ansible reads Ansible's YAML inventory: groups with hosts, children and vars. The variables of a host are
-// those of its groups, farther ones first, then by priority and name, and its own last; a later one wins.
+// ansible reads Ansible's YAML inventory: groups with hosts, children and vars. A host has the variables of its groups and its
+// own. Deeper groups override shallower ones, then those with higher priority, then the later by name; a host's own variables
+// override all.
 type ansible struct {
 	*yamlFile
 	groups map[string]*ansibleGroup
 	hosts  map[string]*ansibleHost
-	order  []string // hosts as they were first mentioned
+	order  []string // host names in the order of first mention
 }
 
 type ansibleGroup struct {
@@ -30,7 +31,7 @@
 type ansibleHost struct {
 	at     Origin
 	groups []*ansibleGroup
-	vars   [][]pair // of each mention; later ones win
+	vars   [][]pair // one entry per mention; later ones override earlier ones
 }
 
 func newAnsible(y *yamlFile) *ansible {
@@ -56,11 +57,11 @@
 		a.readGroup(p, parent, 0)
 	}
 	if len(a.hosts) == 0 {
-		a.problem(Origin{a.file, 1, 0}, "holds no host; a group has hosts, children or vars under it")
+		a.problem(Origin{a.file, 1, 0}, "the file contains no hosts; a group needs hosts, children or vars under it")
 	}
-	a.depths()
+	a.setDepths()
 	for _, name := range a.order {
-		a.finish(name, a.hosts[name])
+		a.buildNode(name, a.hosts[name])
 	}
 }
 
@@ -68,13 +69,13 @@
 
 func (a *ansible) readGroup(p pair, parent *ansibleGroup, depth int) {
 	if depth > maxDepth {
-		a.problem(a.at(p.key), "groups are nested deeper than %d", maxDepth)
+		a.problem(a.at(p.key), "groups are nested deeper than %d levels", maxDepth)
 		return
 	}
 	g := a.group(p.key.Value)
 	if parent != nil && !slices.Contains(g.parents, parent) {
-		if g.above(parent, map[*ansibleGroup]bool{}) {
-			a.problem(a.at(p.key), "group %q is within itself", g.name)
+		if g.isAncestorOf(parent, map[*ansibleGroup]bool{}) {
+			a.problem(a.at(p.key), "group %q contains itself", g.name)
 			return
 		}
 		g.parents = append(g.parents, parent)
@@ -83,7 +84,7 @@
 		return
 	}
 	if p.value.Kind != yaml.MappingNode {
-		a.problem(a.at(p.value), "group %q wants hosts, children or vars under it%s", g.name, hint(g.name, []string{"nodes"}))
+		a.problem(a.at(p.value), "group %q must be a mapping of hosts, children or vars%s", g.name, suggestion(g.name, []string{"nodes"}))
 		return
 	}
 	for _, part := range a.pairs(p.value, 0) {
@@ -97,27 +98,27 @@
 		case "vars":
 			a.readVars(part, g)
 		default:
-			a.problem(a.at(part.key), "unknown key %q in group %q%s", part.key.Value, g.name, hint(part.key.Value, groupKeys))
+			a.problem(a.at(part.key), "unknown key %q in group %q%s", part.key.Value, g.name, suggestion(part.key.Value, groupKeys))
 		}
 	}
 }
 
-// above tells whether g is the other, or among its ancestors.
-func (g *ansibleGroup) above(other *ansibleGroup, seen map[*ansibleGroup]bool) bool {
+// isAncestorOf reports whether g is other or one of its ancestors.
+func (g *ansibleGroup) isAncestorOf(other *ansibleGroup, seen map[*ansibleGroup]bool) bool {
 	if g == other {
 		return true
 	}
 	seen[other] = true
-	return slices.ContainsFunc(other.parents, func(p *ansibleGroup) bool { return !seen[p] && g.above(p, seen) })
+	return slices.ContainsFunc(other.parents, func(p *ansibleGroup) bool { return !seen[p] && g.isAncestorOf(p, seen) })
 }
 
-// mapping is what stands under hosts or children: a mapping, or nothing.
+// mapping returns the pairs of a value that must be a mapping or empty.
 func (a *ansible) mapping(p pair) []pair {
 	switch {
 	case p.value.Tag == "!!null":
 		return nil
 	case p.value.Kind != yaml.MappingNode:
-		a.problem(a.at(p.value), "%s wants a mapping; end each name with a colon", p.key.Value)
+		a.problem(a.at(p.value), "%s must be a mapping; end each name with a colon", p.key.Value)
 		return nil
 	}
 	return a.pairs(p.value, 0)
@@ -128,7 +129,7 @@
 		if v.key.Value == "ansible_group_priority" {
 			n, err := strconv.Atoi(v.value.Value)
 			if err != nil {
-				a.problem(a.at(v.value), "ansible_group_priority %q is no whole number", v.value.Value)
+				a.problem(a.at(v.value), "ansible_group_priority %q is not a whole number", v.value.Value)
 			}
 			g.priority = n
 			continue
@@ -145,13 +146,13 @@
 			continue
 		}
 		if len(a.hosts)+len(names) > maxNodes {
-			a.problem(a.at(h.key), "over %d hosts", maxNodes)
+			a.problem(a.at(h.key), "more than %d hosts in the file", maxNodes)
 			return
 		}
 		var vars []pair
 		if h.value.Tag != "!!null" {
 			if h.value.Kind != yaml.MappingNode {
-				a.problem(a.at(h.value), "host %q wants variables under it, or nothing", h.key.Value)
+				a.problem(a.at(h.value), "host %q must have a mapping of variables under it, or nothing", h.key.Value)
 				continue
 			}
 			vars = a.pairs(h.value, 0)
@@ -171,42 +172,42 @@
 	}
 }
 
-// depths settles how far each group is from all, by its longest way. No group is within itself.
-func (a *ansible) depths() {
+// setDepths sets the depth of each group, the length of its longest path from all. The groups have no cycles.
+func (a *ansible) setDepths() {
 	known := map[*ansibleGroup]bool{}
-	var settle func(g *ansibleGroup)
-	settle = func(g *ansibleGroup) {
+	var visit func(g *ansibleGroup)
+	visit = func(g *ansibleGroup) {
 		if known[g] {
 			return
 		}
 		known[g] = true
 		for _, p := range g.parents {
-			settle(p)
+			visit(p)
 			g.depth = max(g.depth, p.depth+1)
 		}
 	}
 	for _, g := range a.groups {
-		settle(g)
+		visit(g)
 	}
 }
 
-// finish makes a node of a host.
-func (a *ansible) finish(name string, h *ansibleHost) {
-	within := map[*ansibleGroup]bool{a.groups["all"]: true}
-	var climb func(g *ansibleGroup)
-	climb = func(g *ansibleGroup) {
-		if !within[g] {
-			within[g] = true
+// buildNode merges the variables of a host's groups and of the host, and adds the node.
+func (a *ansible) buildNode(name string, h *ansibleHost) {
+	memberOf := map[*ansibleGroup]bool{a.groups["all"]: true}
+	var addAncestors func(g *ansibleGroup)
+	addAncestors = func(g *ansibleGroup) {
+		if !memberOf[g] {
+			memberOf[g] = true
 			for _, p := range g.parents {
-				climb(p)
+				addAncestors(p)
 			}
 		}
 	}
 	for _, g := range h.groups {
-		climb(g)
+		addAncestors(g)
 	}
-	groups := make([]*ansibleGroup, 0, len(within))
-	for g := range within {
+	groups := make([]*ansibleGroup, 0, len(memberOf))
+	for g := range memberOf {
 		groups = append(groups, g)
 	}
 	slices.SortFunc(groups, func(x, y *ansibleGroup) int {
@@ -214,35 +215,35 @@
 	})
 	vars := map[string]pair{}
 	for _, g := range groups {
-		a.layer(vars, g.vars, "group "+strconv.Quote(g.name))
+		a.override(vars, g.vars, "group "+strconv.Quote(g.name))
 	}
 	for _, own := range h.vars {
-		a.layer(vars, own, "host "+strconv.Quote(name))
+		a.override(vars, own, "host "+strconv.Quote(name))
 	}
-	a.node(name, h, vars)
+	a.addNode(name, h, vars)
 }
 
-// layer puts variables over those that count less. A field has one name in the result, whichever of its names
-// a layer used; a layer that uses both contradicts itself.
-func (a *ansible) layer(vars map[string]pair, over []pair, whose string) {
-	told := map[string]bool{}
+// override puts the variables of owner, a group or a host, over vars. Aliases are replaced by the name of their field; it is a
+// problem if an owner sets host or port under both names.
+func (a *ansible) override(vars map[string]pair, over []pair, owner string) {
+	seen := map[string]bool{}
 	for _, v := range over {
 		field := v.key.Value
-		if f := aliases[field]; f != "" {
+		if f := fieldAliases[field]; f != "" {
 			field = f
 		}
-		if told[field] && (field == "host" || field == "port") {
-			a.problem(a.at(v.key), "%s of %s is told as %s and as ansible_%s", field, whose, field, field)
+		if seen[field] && (field == "host" || field == "port") {
+			a.problem(a.at(v.key), "%s of %s is set both as %s and as ansible_%s", field, owner, field, field)
 		}
-		told[field] = true
+		seen[field] = true
 		vars[field] = v
 	}
 }
 
-func (a *ansible) node(name string, h *ansibleHost, vars map[string]pair) {
-	r := newRaw(h.at)
+func (a *ansible) addNode(name string, h *ansibleHost, vars map[string]pair) {
+	r := newRawNode(h.at)
 	r.values["name"] = value{name, h.at}
-	r.values["host"] = value{name, h.at} // Ansible's own default
+	r.values["host"] = value{name, h.at} // the default in Ansible
 	names := make([]string, 0, len(vars))
 	for key := range vars {
 		names = append(names, key)
@@ -252,59 +253,59 @@
 		p := vars[key]
 		switch {
 		case key == "name":
-			a.problem(a.at(p.key), "the name of a host is its key; a variable \"name\" can't change it")
+			a.problem(a.at(p.key), "a host is named by its key; a variable \"name\" can't change it")
 		case key == "labels":
-			a.labels(r, p.value)
+			a.readLabels(r, p.value)
 		case slices.Contains(fields, key):
 			if text, ok := a.scalar(key, p.value); ok {
 				r.values[key] = value{text, a.at(p.value)}
 			}
-		case !strings.HasPrefix(key, "ansible_") && slip(key, fields):
-			a.problem(a.at(p.key), "variable %q is not known%s", key, hint(key, fields))
+		case !strings.HasPrefix(key, "ansible_") && misspelled(key, fields):
+			a.problem(a.at(p.key), "unknown variable %q%s", key, suggestion(key, fields))
 		default:
-			r.labels[key] = value{a.plain(p.value), a.at(p.value)}
+			r.labels[key] = value{a.labelText(p.value), a.at(p.value)}
 		}
 	}
 	a.add(r)
 }
 
-// expand counts out the ranges in a host's name: [01:12], [01:12:2], [a:f].
+// expand returns the names for a host name with any number of ranges, such as [01:12], [01:12:2] or [a:f].
 func expand(name string) ([]string, error) {
 	open := strings.IndexByte(name, '[')
 	if open < 0 {
 		if strings.Contains(name, "]") {
-			return nil, fmt.Errorf("host %q closes a range that it does not open", name)
+			return nil, fmt.Errorf("host %q has ] without [", name)
 		}
 		return []string{name}, nil
 	}
 	length := strings.IndexByte(name[open:], ']')
 	if length < 0 {
-		return nil, fmt.Errorf("host %q opens a range and does not close it", name)
+		return nil, fmt.Errorf("host %q has [ without ]", name)
 	}
 	if strings.Contains(name[open+1:open+length], "[") {
-		return nil, fmt.Errorf("host %q has a range within a range", name)
+		return nil, fmt.Errorf("host %q has a range inside a range", name)
 	}
-	items, err := rangeOf(name[open+1 : open+length])
+	items, err := expandRange(name[open+1 : open+length])
 	if err != nil {
 		return nil, fmt.Errorf("host %q: %w", name, err)
 	}
-	tails, err := expand(name[open+length+1:])
+	suffixes, err := expand(name[open+length+1:])
 	if err != nil {
 		return nil, err
 	}
-	if len(items)*len(tails) > maxNodes {
-		return nil, fmt.Errorf("host %q stands for over %d hosts", name, maxNodes)
+	if len(items)*len(suffixes) > maxNodes {
+		return nil, fmt.Errorf("host %q expands to more than %d hosts", name, maxNodes)
 	}
-	names := make([]string, 0, len(items)*len(tails))
+	names := make([]string, 0, len(items)*len(suffixes))
 	for _, item := range items {
-		for _, tail := range tails {
+		for _, tail := range suffixes {
 			names = append(names, name[:open]+item+tail)
 		}
 	}
 	return names, nil
 }
 
-func rangeOf(text string) ([]string, error) {
+func expandRange(text string) ([]string, error) {
 	parts := strings.Split(text, ":")
 	if len(parts) != 2 && len(parts) != 3 {
 		return nil, fmt.Errorf("range [%s] is not FROM:TO or FROM:TO:STEP", text)
@@ -313,49 +314,49 @@
 	if len(parts) == 3 {
 		n, err := strconv.Atoi(parts[2])
 		if err != nil || n < 1 {
-			return nil, fmt.Errorf("range [%s]: step %q is no whole number above 0", text, parts[2])
+			return nil, fmt.Errorf("range [%s]: step %q is not a whole number above 0", text, parts[2])
 		}
 		step = n
 	}
 	from, to := parts[0], parts[1]
-	if len(from) == 1 && len(to) == 1 && letter(from[0]) && letter(to[0]) {
+	if len(from) == 1 && len(to) == 1 && isLetter(from[0]) && isLetter(to[0]) {
 		var items []string
 		for ch := int(from[0]); ch <= int(to[0]); ch += step {
-			if letter(byte(ch)) {
+			if isLetter(byte(ch)) {
 				items = append(items, string(rune(ch)))
 			}
 		}
-		return items, none(items, text)
+		return items, checkNotEmpty(items, text)
 	}
 	if from == "" {
-		from = "0" // as Ansible has it
+		from = "0" // the default in Ansible
 	}
 	first, err1 := strconv.ParseUint(from, 10, 31)
 	last, err2 := strconv.ParseUint(to, 10, 31)
 	if err1 != nil || err2 != nil {
-		return nil, fmt.Errorf("range [%s] has neither two numbers nor two letters", text)
+		return nil, fmt.Errorf("range [%s] must have two numbers or two letters as its ends", text)
 	}
 	width := 0
 	if len(from) > 1 && from[0] == '0' {
 		if width = len(from); len(to) != width {
-			return nil, fmt.Errorf("range [%s]: with leading zeros both ends need as many digits", text)
+			return nil, fmt.Errorf("range [%s]: with leading zeros, both ends must have the same number of digits", text)
 		}
 	}
 	if last >= first && (last-first)/uint64(step) >= maxNodes {
-		return nil, fmt.Errorf("range [%s] stands for over %d hosts", text, maxNodes)
+		return nil, fmt.Errorf("range [%s] expands to more than %d hosts", text, maxNodes)
 	}
 	var items []string
 	for n := first; n <= last; n += uint64(step) {
 		items = append(items, fmt.Sprintf("%0*d", width, n))
 	}
-	return items, none(items, text)
+	return items, checkNotEmpty(items, text)
 }
 
-func none(items []string, text string) error {
+func checkNotEmpty(items []string, text string) error {
 	if len(items) == 0 {
 		return fmt.Errorf("range [%s] ends before it begins", text)
 	}
 	return nil
 }
 
-func letter(ch byte) bool { return 'a' <= ch && ch <= 'z' || 'A' <= ch && ch <= 'Z' }
+func isLetter(ch byte) bool { return 'a' <= ch && ch <= 'z' || 'A' <= ch && ch <= 'Z' }
--- a/inventory/corpus_test.go
+++ b/inventory/corpus_test.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// drawSet makes a set of nodes.
-func drawSet(rng *rand.Rand) *Set {
+// randomSet returns a random set of nodes in up to three slices.
+func randomSet(rng *rand.Rand) *Set {
 	s := &Set{}
 	for sl := range 1 + rng.IntN(3) {
 		slice := []string{"news", "guestbook", "notices of the east", "7"}[(sl+rng.IntN(2))%4]
@@ -40,8 +40,8 @@
 	return s
 }
 
-// cells are a node's fields as texts.
-func cells(n *Node) map[string]string {
+// fieldTexts returns a node's fields as text, by the name of their CSV column.
+func fieldTexts(n *Node) map[string]string {
 	m := map[string]string{"name": n.Name, "host": n.Host, "port": strconv.Itoa(n.Port), "slice": n.Slice, "hall": n.Hall, "state": string(n.State)}
 	if !n.Started.IsZero() {
 		m["started"] = n.Started.Format(time.RFC3339)
@@ -52,7 +52,7 @@
 	return m
 }
 
-// writeCSV writes a set as spreadsheets and tools do, in one of many ways. lines are where its nodes stand.
+// writeCSV writes a set in one of the many ways of spreadsheets and tools. lines are the line numbers of its nodes.
 func writeCSV(rng *rand.Rand, s *Set) (text string, lines []int) {
 	columns := []string{"name", "host", "port", "slice", "hall", "state", "started", "label:rack"}
 	rng.Shuffle(len(columns), func(i, j int) { columns[i], columns[j] = columns[j], columns[i] })
@@ -77,16 +77,16 @@
 		b.WriteString("\ufeff")
 	}
 	line := 1
-	put := func(t string) { b.WriteString(t + eol); line += 1 + strings.Count(t, "\n") }
+	writeLine := func(t string) { b.WriteString(t + eol); line += 1 + strings.Count(t, "\n") }
 	if rng.IntN(3) == 0 {
-		put("# made by a tool, do not edit")
+		writeLine("# made by a tool, do not edit")
 	}
-	put(strings.Join(header, sep) + tail)
+	writeLine(strings.Join(header, sep) + tail)
 	for i := range s.Nodes {
 		if rng.IntN(6) == 0 {
-			put("# a comment")
+			writeLine("# a comment")
 		}
-		c := cells(&s.Nodes[i])
+		c := fieldTexts(&s.Nodes[i])
 		row := make([]string, len(columns))
 		for k, col := range columns {
 			row[k] = c[col]
@@ -98,12 +98,12 @@
 			}
 		}
 		lines = append(lines, line)
-		put(strings.Join(row, sep) + tail)
+		writeLine(strings.Join(row, sep) + tail)
 	}
 	return b.String(), lines
 }
 
-// scalarText writes a value so that every tool reads it as this text.
+// scalarText writes a value in a form that every tool reads as this string.
 func scalarText(rng *rand.Rand, field, v string) string {
 	if field == "port" {
 		return v
@@ -121,21 +121,21 @@
 	return strconv.Quote(v)
 }
 
-// writeList writes a set as a plain YAML list.
+// writeList writes a set as a plain YAML list. lines are the line numbers of its nodes.
 func writeList(rng *rand.Rand, s *Set) (text string, lines []int) {
 	var b strings.Builder
 	line := 1
-	put := func(format string, args ...any) { fmt.Fprintf(&b, format+"\n", args...); line++ }
+	writeLine := func(format string, args ...any) { fmt.Fprintf(&b, format+"\n", args...); line++ }
 	if rng.IntN(2) == 0 {
-		put("---")
+		writeLine("---")
 	}
-	put("nodes:")
+	writeLine("nodes:")
 	for i := range s.Nodes {
 		n := &s.Nodes[i]
 		if rng.IntN(6) == 0 {
-			put("  # a comment")
+			writeLine("  # a comment")
 		}
-		c := cells(n)
+		c := fieldTexts(n)
 		delete(c, "label:rack")
 		keys := make([]string, 0, len(c))
 		for k := range c {
@@ -155,7 +155,7 @@
 			if n.Labels["rack"] != "" {
 				parts = append(parts, "labels: {rack: "+strconv.Quote(n.Labels["rack"])+"}")
 			}
-			put("  - {%s}", strings.Join(parts, ", "))
+			writeLine("  - {%s}", strings.Join(parts, ", "))
 			continue
 		}
 		mark := "- "
@@ -164,29 +164,30 @@
 			if (k == "host" || k == "port") && rng.IntN(4) == 0 {
 				key = "ansible_" + k
 			}
-			put("  %s%s: %s", mark, key, scalarText(rng, k, c[k]))
+			writeLine("  %s%s: %s", mark, key, scalarText(rng, k, c[k]))
 			mark = "  "
 		}
 		if n.Labels["rack"] != "" {
-			put("    labels:")
-			put("      rack: %s", strconv.Quote(n.Labels["rack"]))
+			writeLine("    labels:")
+			writeLine("      rack: %s", strconv.Quote(n.Labels["rack"]))
 		}
 	}
 	return b.String(), lines
 }
 
-// writeAnsible writes a set as Ansible's inventory, what nodes share standing at their groups.
+// writeAnsible writes a set as Ansible's inventory, with the slice as a variable of the group. lines are the line numbers of its
+// nodes.
 func writeAnsible(rng *rand.Rand, s *Set) (text string, lines []int) {
 	var b strings.Builder
 	line := 1
-	put := func(format string, args ...any) { fmt.Fprintf(&b, format+"\n", args...); line++ }
-	put("all:")
+	writeLine := func(format string, args ...any) { fmt.Fprintf(&b, format+"\n", args...); line++ }
+	writeLine("all:")
 	if rng.IntN(2) == 0 {
-		put("  vars:")
-		put("    ansible_user: operator")
-		put("    hall: nowhere") // every host or group says otherwise
+		writeLine("  vars:")
+		writeLine("    ansible_user: operator")
+		writeLine("    hall: nowhere") // overridden by every host
 	}
-	put("  children:")
+	writeLine("  children:")
 	lines = make([]int, len(s.Nodes))
 	bySlice := map[string][]int{}
 	var order []string
@@ -197,37 +198,37 @@
 		bySlice[n.Slice] = append(bySlice[n.Slice], i)
 	}
 	for k, slice := range order {
-		put("    group%d:", k)
-		put("      vars:")
-		put("        slice: %s", strconv.Quote(slice))
-		put("      hosts:")
+		writeLine("    group%d:", k)
+		writeLine("      vars:")
+		writeLine("        slice: %s", strconv.Quote(slice))
+		writeLine("      hosts:")
 		for _, i := range bySlice[slice] {
 			n := &s.Nodes[i]
 			lines[i] = line
-			put("        %s:", n.Name)
-			put("          hall: %s", scalarText(rng, "hall", n.Hall))
+			writeLine("        %s:", n.Name)
+			writeLine("          hall: %s", scalarText(rng, "hall", n.Hall))
 			if n.Host != n.Name {
-				put("          %s: %s", []string{"host", "ansible_host"}[rng.IntN(2)], scalarText(rng, "host", n.Host))
+				writeLine("          %s: %s", []string{"host", "ansible_host"}[rng.IntN(2)], scalarText(rng, "host", n.Host))
 			}
 			if n.Port != 5432 || rng.IntN(2) == 0 {
-				put("          %s: %d", []string{"port", "ansible_port"}[rng.IntN(2)], n.Port)
+				writeLine("          %s: %d", []string{"port", "ansible_port"}[rng.IntN(2)], n.Port)
 			}
 			if n.State != Ready || rng.IntN(3) == 0 {
-				put("          state: %s", n.State)
+				writeLine("          state: %s", n.State)
 			}
 			if !n.Started.IsZero() {
-				put("          started: %s", strconv.Quote(n.Started.Format(time.RFC3339)))
+				writeLine("          started: %s", strconv.Quote(n.Started.Format(time.RFC3339)))
 			}
 			if n.Labels["rack"] != "" {
-				put("          rack: %s", strconv.Quote(n.Labels["rack"]))
+				writeLine("          rack: %s", strconv.Quote(n.Labels["rack"]))
 			}
 		}
 	}
-	if rng.IntN(2) == 0 { // hosts named again, in a group that adds nothing
-		put("watched:")
-		put("  hosts:")
+	if rng.IntN(2) == 0 { // hosts listed again, in a group without variables
+		writeLine("watched:")
+		writeLine("  hosts:")
 		for _, n := range s.Nodes[:1+rng.IntN(len(s.Nodes))] {
-			put("    %s:", n.Name)
+			writeLine("    %s:", n.Name)
 		}
 	}
 	return b.String(), lines
@@ -240,37 +241,37 @@
 
 var forms = []form{{"inv.csv", writeCSV}, {"inv.yaml", writeList}, {"inv.yml", writeAnsible}}
 
-// withoutTool drops the labels that only Ansible's own variables make.
-func withoutTool(s *Set) *Set {
+// removeToolLabels removes the label that comes from Ansible's own variable.
+func removeToolLabels(s *Set) *Set {
 	for i := range s.Nodes {
 		delete(s.Nodes[i].Labels, "ansible_user")
 	}
 	return s
 }
 
-// TestWellFormed writes 300 node sets in three forms each, many ways of each form: every file yields its set.
+// TestWellFormed writes 300 random sets in three formats each, with random variations of style. Parse must return the same set.
 func TestWellFormed(t *testing.T) {
 	for seed := range uint64(300) {
 		for _, f := range forms {
 			rng := rand.New(rand.NewPCG(seed, 1))
-			want := drawSet(rng)
+			want := randomSet(rng)
 			text, _ := f.write(rng, want)
 			got, err := Parse([]File{{f.name, []byte(text)}}, Options{})
 			if err != nil {
 				t.Fatalf("seed %d:\n%s\n%v", seed, text, err)
 			}
-			if !withoutTool(got).Equal(want) {
-				t.Fatalf("seed %d: other nodes\n%s\ngot  %+v\nwant %+v", seed, text, got, want)
+			if !removeToolLabels(got).Equal(want) {
+				t.Fatalf("seed %d: different nodes\n%s\ngot  %+v\nwant %+v", seed, text, got, want)
 			}
 		}
 	}
 }
 
-// TestSeveralFiles splits sets over files of all forms.
+// TestSeveralFiles splits sets over files of all formats.
 func TestSeveralFiles(t *testing.T) {
 	for seed := range uint64(100) {
 		rng := rand.New(rand.NewPCG(seed, 2))
-		want := drawSet(rng)
+		want := randomSet(rng)
 		parts := make([]Set, 3)
 		for _, n := range want.Nodes {
 			p := &parts[rng.IntN(3)]
@@ -287,20 +288,20 @@
 		if err != nil {
 			t.Fatalf("seed %d: %v", seed, err)
 		}
-		if !withoutTool(got).Equal(want) {
-			t.Fatalf("seed %d: other nodes", seed)
+		if !removeToolLabels(got).Equal(want) {
+			t.Fatalf("seed %d: different nodes", seed)
 		}
 	}
 }
 
-// mutation spoils a good file and says in which line.
+// mutation damages a correct file.
 type mutation struct {
 	name string
-	// do returns the spoilt text and the line that must be named; ok is false where it doesn't apply.
-	do func(rng *rand.Rand, text string, lines []int, s *Set) (spoilt string, line int, ok bool)
+	// apply returns the damaged text and the line that a problem must name; ok is false if the mutation does not apply.
+	apply func(rng *rand.Rand, text string, lines []int, s *Set) (damaged string, line int, ok bool)
 }
 
-// replaceOnLine changes the first place of old at or after a line.
+// replaceOnLine replaces the first occurrence of old on or after line. It returns the text and the changed line.
 func replaceOnLine(text string, line int, old, new string) (string, int, bool) {
 	all := strings.SplitAfter(text, "\n")
 	for i := line - 1; i < len(all); i++ {
@@ -326,16 +327,16 @@
 	}},
 	{"unknown state", func(rng *rand.Rand, text string, lines []int, s *Set) (string, int, bool) {
 		for _, st := range []string{"draining", "gone"} {
-			if spoilt, line, ok := replaceOnLine(text, 2, st, "drianing"); ok {
-				return spoilt, line, true
+			if damaged, line, ok := replaceOnLine(text, 2, st, "drianing"); ok {
+				return damaged, line, true
 			}
 		}
 		return "", 0, false
 	}},
 	{"port out of range", func(rng *rand.Rand, text string, lines []int, s *Set) (string, int, bool) {
 		for _, p := range []string{"5433", "5434"} {
-			if spoilt, line, ok := replaceOnLine(text, 2, p, "99999"); ok {
-				return spoilt, line, true
+			if damaged, line, ok := replaceOnLine(text, 2, p, "99999"); ok {
+				return damaged, line, true
 			}
 		}
 		return "", 0, false
@@ -348,8 +349,8 @@
 		if strings.Count(text, b) != 1 && !strings.Contains(s.Nodes[len(s.Nodes)-1].Host, b) {
 			return "", 0, false
 		}
-		spoilt := strings.ReplaceAll(text, b, a)
-		return spoilt, lines[len(lines)-1], spoilt != text && !strings.Contains(s.Nodes[0].Host, a)
+		damaged := strings.ReplaceAll(text, b, a)
+		return damaged, lines[len(lines)-1], damaged != text && !strings.Contains(s.Nodes[0].Host, a)
 	}},
 	{"bad time", func(rng *rand.Rand, text string, lines []int, s *Set) (string, int, bool) {
 		return replaceOnLine(text, 2, "2026-03-01T", "2026-13-01T")
@@ -362,22 +363,22 @@
 	}},
 	{"unknown field", func(rng *rand.Rand, text string, lines []int, s *Set) (string, int, bool) {
 		for _, f := range []string{"Hall", "hall"} {
-			if spoilt, line, ok := replaceOnLine(text, 1, f, "hal"); ok {
-				return spoilt, line, true
+			if damaged, line, ok := replaceOnLine(text, 1, f, "hal"); ok {
+				return damaged, line, true
 			}
 		}
 		return "", 0, false
 	}},
-	{"quote that never ends", func(rng *rand.Rand, text string, lines []int, s *Set) (string, int, bool) {
+	{"unclosed quote", func(rng *rand.Rand, text string, lines []int, s *Set) (string, int, bool) {
 		if !strings.Contains(strings.ToLower(strings.SplitN(text, "\n", 3)[0]+strings.SplitN(text+"\n\n", "\n", 3)[1]), "started") {
-			return "", 0, false // of CSV only
+			return "", 0, false // only for CSV
 		}
 		line := lines[len(lines)-1]
 		all := strings.SplitAfter(text, "\n")
 		all[line-1] = `"` + strings.ReplaceAll(all[line-1], `"`, "")
 		return strings.Join(all, ""), line, true
 	}},
-	{"truth value", func(rng *rand.Rand, text string, lines []int, s *Set) (string, int, bool) {
+	{"boolean", func(rng *rand.Rand, text string, lines []int, s *Set) (string, int, bool) {
 		return replaceOnLine(text, 2, "state: draining", "state: no")
 	}},
 	{"octal port", func(rng *rand.Rand, text string, lines []int, s *Set) (string, int, bool) {
@@ -394,25 +395,25 @@
 	}},
 }
 
-// TestMalformed spoils good files in 600 ways and more: every one is refused, with the right line named.
+// TestMalformed damages correct files in at least 600 ways. Parse must refuse every one and name the damaged line.
 func TestMalformed(t *testing.T) {
 	count, byName := 0, map[string]int{}
 	for seed := range uint64(150) {
 		for _, f := range forms {
 			for _, m := range mutations {
 				rng := rand.New(rand.NewPCG(seed, 3))
-				s := drawSet(rng)
+				s := randomSet(rng)
 				text, lines := f.write(rng, s)
-				spoilt, line, ok := m.do(rng, text, lines, s)
+				damaged, line, ok := m.apply(rng, text, lines, s)
 				if !ok {
 					continue
 				}
 				count++
 				byName[m.name]++
-				_, err := Parse([]File{{f.name, []byte(spoilt)}}, Options{Halls: []string{"reykjavik-a", "hafnarfjordur-b", "nowhere"}})
+				_, err := Parse([]File{{f.name, []byte(damaged)}}, Options{Halls: []string{"reykjavik-a", "hafnarfjordur-b", "nowhere"}})
 				problems, _ := err.(Problems)
 				if !slices.ContainsFunc(problems, func(p Problem) bool { return p.Line == line }) {
-					t.Fatalf("seed %d, %s, %s: line %d is not named:\n%v\n%s", seed, f.name, m.name, line, err, spoilt)
+					t.Fatalf("seed %d, %s, %s: line %d is not named:\n%v\n%s", seed, f.name, m.name, line, err, damaged)
 				}
 			}
 		}
--- a/inventory/lastgood.go
+++ b/inventory/lastgood.go
@@ -12,10 +12,10 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// lastGoodMagic begins the file of a last good inventory; its last byte is the version.
+// lastGoodMagic is the start of a file with a last good inventory. Its last byte is the format version.
 const lastGoodMagic = "umbinv\x00\x01"
 
-// LastGood is the inventory that was last in force, with when it was taken.
+// LastGood is the last inventory without mistakes, and the time at which it was read.
 type LastGood struct {
 	Taken time.Time
 	Set   *Set
@@ -31,18 +31,18 @@
 	Host    string            `cbor:"2,keyasint"`
 	Port    int               `cbor:"3,keyasint"`
 	Slice   string            `cbor:"4,keyasint"`
-	Hall    string            `cbor:"5,keyasint,omitempty"`
+	Zone    string            `cbor:"5,keyasint,omitempty"`
 	State   State             `cbor:"6,keyasint"`
 	Started int64             `cbor:"7,keyasint,omitempty"`
 	Labels  map[string]string `cbor:"8,keyasint,omitempty"`
 }
 
-// Save keeps a set at a path: written beside it, synced, and put in its place at once, so that a crash leaves
-// the old copy or the new one. The file is CBOR between a magic number and an xxHash.
+// Save replaces the file at path by l. The file is CBOR between a magic number and an xxHash. See ReplaceFile for crashes and
+// errors.
 func (l *LastGood) Save(path string) error {
 	stored := storedSet{Taken: l.Taken.UnixNano()}
 	for _, n := range l.Set.Nodes {
-		s := storedNode{Name: n.Name, Host: n.Host, Port: n.Port, Slice: n.Slice, Hall: n.Hall, State: n.State, Labels: n.Labels}
+		s := storedNode{Name: n.Name, Host: n.Host, Port: n.Port, Slice: n.Slice, Zone: n.Hall, State: n.State, Labels: n.Labels}
 		if !n.Started.IsZero() {
 			s.Started = n.Started.UnixNano()
 		}
@@ -57,8 +57,9 @@
 	return ReplaceFile(path, text)
 }
 
-// ReplaceFile puts text in the place of a file: written beside it, synced and renamed, so that a crash leaves the
-// old text or the new.
+// ReplaceFile atomically replaces the file at path by text, or creates it: after a crash the file is the old or the new one. It
+// writes a temporary file in the same directory, syncs and renames it, and blocks until the directory is synced. The error
+// wraps that of the system.
 func ReplaceFile(path string, text []byte) (err error) {
 	dir := filepath.Dir(path)
 	f, err := os.CreateTemp(dir, filepath.Base(path)+".new*")
@@ -91,7 +92,8 @@
 	return d.Sync()
 }
 
-// LoadLastGood reads what Save kept. A damaged copy is refused.
+// LoadLastGood reads a file written by Save. The error wraps that of the system, or says that the file is of another format or
+// version, is damaged or contains no nodes. The Origin of each node is that file, with the node's number as line.
 func LoadLastGood(path string) (*LastGood, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -99,25 +101,25 @@
 	}
 	n := len(lastGoodMagic)
 	if len(text) < n+8 || string(text[:n-1]) != lastGoodMagic[:n-1] {
-		return nil, fmt.Errorf("last good inventory: %s is none", path)
+		return nil, fmt.Errorf("last good inventory: %s is not a file of this kind", path)
 	}
 	if text[n-1] != lastGoodMagic[n-1] {
-		return nil, fmt.Errorf("last good inventory: %s has version %d, %d is known here", path, text[n-1], lastGoodMagic[n-1])
+		return nil, fmt.Errorf("last good inventory: %s has format version %d; only version %d is supported", path, text[n-1], lastGoodMagic[n-1])
 	}
 	body := text[:len(text)-8]
 	if xxhash.Sum64(body) != binary.BigEndian.Uint64(text[len(text)-8:]) {
-		return nil, fmt.Errorf("last good inventory: %s is damaged: its checksum is wrong", path)
+		return nil, fmt.Errorf("last good inventory: %s is damaged: checksum mismatch", path)
 	}
 	var stored storedSet
 	if err := cbor.Unmarshal(body[n:], &stored); err != nil {
 		return nil, fmt.Errorf("last good inventory: %s: %w", path, err)
 	}
 	if len(stored.Nodes) == 0 {
-		return nil, errors.New("last good inventory: " + path + " holds no node")
+		return nil, errors.New("last good inventory: " + path + " contains no nodes")
 	}
 	set := &Set{}
 	for i, s := range stored.Nodes {
-		node := Node{Name: s.Name, Host: s.Host, Port: s.Port, Slice: s.Slice, Hall: s.Hall, State: s.State, Labels: s.Labels,
+		node := Node{Name: s.Name, Host: s.Host, Port: s.Port, Slice: s.Slice, Hall: s.Zone, State: s.State, Labels: s.Labels,
 			Origin: Origin{File: path, Line: i + 1}}
 		if node.Labels == nil {
 			node.Labels = map[string]string{}
--- a/inventory/lint.go
+++ b/inventory/lint.go
@@ -6,59 +6,60 @@
 	"time"
 )
 
-// Lint names what is legal but odd, in the order of files and lines. now is for times that lie ahead.
+// Lint returns warnings about valid but unusual contents of s and the files it was read from, sorted by file and line. Start
+// times after now are among them.
 func Lint(files []File, s *Set, now time.Time) Problems {
 	c := &collector{}
 	for _, f := range files {
 		if len(f.Text) > 0 && f.Text[len(f.Text)-1] != '\n' {
-			c.problem(Origin{f.Path, 1 + bytes.Count(f.Text, []byte("\n")), 0}, "the last line has no end; if the file was cut, nobody would notice")
+			c.problem(Origin{f.Path, 1 + bytes.Count(f.Text, []byte("\n")), 0}, "the last line has no line ending; a truncated file would go unnoticed")
 		}
 	}
-	type tally struct {
+	type sliceStats struct {
 		first    Node
 		ready    int
 		draining int
-		halls    map[string]bool
+		zones    map[string]bool
 	}
-	slicesSeen, lower := map[string]*tally{}, map[string]Node{}
+	bySlice, byLowerName := map[string]*sliceStats{}, map[string]Node{}
 	for _, n := range s.Nodes {
-		t := slicesSeen[n.Slice]
+		t := bySlice[n.Slice]
 		if t == nil {
-			t = &tally{first: n, halls: map[string]bool{}}
-			slicesSeen[n.Slice] = t
+			t = &sliceStats{first: n, zones: map[string]bool{}}
+			bySlice[n.Slice] = t
 		}
-		t.halls[n.Hall] = true
+		t.zones[n.Hall] = true
 		switch n.State {
 		case Ready:
 			t.ready++
 		case Draining:
 			t.draining++
 		}
-		if o, ok := lower[strings.ToLower(n.Name)]; ok {
-			c.problem(n.Origin, "node %q differs from %q in %s by case alone", n.Name, o.Name, o.Origin)
+		if o, ok := byLowerName[strings.ToLower(n.Name)]; ok {
+			c.problem(n.Origin, "the name of node %q differs from %q at %s only in case", n.Name, o.Name, o.Origin)
 		}
-		lower[strings.ToLower(n.Name)] = n
+		byLowerName[strings.ToLower(n.Name)] = n
 		if n.Hall == "" {
-			c.problem(n.Origin, "node %q stands in no hall", n.Name)
+			c.problem(n.Origin, "node %q has no hall", n.Name)
 		}
 		if n.Started.After(now) {
-			c.problem(n.Origin, "node %q starts in %v; it counts as cold until then", n.Name, n.Started.Sub(now).Round(time.Second))
+			c.problem(n.Origin, "node %q has a start time %v in the future; it counts as cold until then", n.Name, n.Started.Sub(now).Round(time.Second))
 		}
 		if strings.EqualFold(n.Host, "localhost") || strings.HasPrefix(n.Host, "127.") {
-			c.problem(n.Origin, "node %q is at %s, which is another machine for each driver", n.Name, n.Host)
+			c.problem(n.Origin, "node %q has the loopback host %s, a different machine for each driver", n.Name, n.Host)
 		}
 	}
-	for name, t := range slicesSeen {
+	for name, t := range bySlice {
 		switch {
 		case t.ready == 0:
 			c.problem(t.first.Origin, "slice %q has no ready node", name)
 		case t.ready == 1:
-			c.problem(t.first.Origin, "slice %q has one ready node: nothing takes over from it", name)
-		case len(t.halls) == 1 && t.first.Hall != "":
-			c.problem(t.first.Origin, "slice %q stands in one hall", name)
+			c.problem(t.first.Origin, "slice %q has only one ready node; no node can take over from it", name)
+		case len(t.zones) == 1 && t.first.Hall != "":
+			c.problem(t.first.Origin, "slice %q has all its nodes in one hall", name)
 		}
 		if t.draining > t.ready {
-			c.problem(t.first.Origin, "more nodes of slice %q drain than are ready", name)
+			c.problem(t.first.Origin, "slice %q has more draining nodes than ready ones", name)
 		}
 	}
 	return c.problems.sorted()
--- a/inventory/load.go
+++ b/inventory/load.go
@@ -12,19 +12,19 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Options is what an inventory is checked against.
+// Options are requirements on an inventory, from the settings of a driver.
 type Options struct {
-	Halls      []string // known halls; nil if any will do
-	MinMembers int      // nodes that each slice needs at the least, those that are gone not counted
+	Halls      []string // known zones; nil accepts any
+	MinMembers int      // minimum number of nodes per slice, not counting those with state gone; below 1 counts as 1
 }
 
-// File is one file as it was read.
+// File is the path and the contents of one file.
 type File struct {
 	Path string
 	Text []byte
 }
 
-// Load reads and checks files and directories as one inventory. The error is Problems, or what the system said.
+// Load reads and checks files and directories as one inventory. The error is Problems, or wraps that of the system.
 func Load(paths []string, o Options) (*Set, error) {
 	files, err := ReadFiles(paths)
 	if err != nil {
@@ -33,7 +33,8 @@
 	return Parse(files, o)
 }
 
-// ReadFiles reads what the paths name, directories in the order of their files' names.
+// ReadFiles reads the files that List returns for paths, each of at most 64 MiB. The error is Problems, or wraps that of the
+// system.
 func ReadFiles(paths []string) ([]File, error) {
 	names, err := List(paths)
 	if err != nil {
@@ -45,8 +46,8 @@
 		if err != nil {
 			return nil, fmt.Errorf("inventory: %w", err)
 		}
-		if st.Size() > maxFile {
-			return nil, Problems{{Origin{name, 1, 0}, fmt.Sprintf("%d bytes, %d at most", st.Size(), maxFile)}}
+		if st.Size() > maxFileBytes {
+			return nil, Problems{{Origin{name, 1, 0}, fmt.Sprintf("the file has %d bytes; at most %d are allowed", st.Size(), maxFileBytes)}}
 		}
 		text, err := os.ReadFile(name)
 		if err != nil {
@@ -57,7 +58,9 @@
 	return files, nil
 }
 
-// List names the files of an inventory.
+// List returns the paths of an inventory's files: files in paths as they are, directories replaced by their .csv, .tsv, .yaml,
+// .yml and .json files in the order of names. Hidden files and subdirectories are skipped. The error is Problems if a directory
+// has no such file, or wraps that of the system.
 func List(paths []string) ([]string, error) {
 	var names []string
 	for _, path := range paths {
@@ -75,18 +78,18 @@
 		}
 		before := len(names)
 		for _, e := range entries { // in the order of names
-			if kindOf(e.Name()) != "" && !strings.HasPrefix(e.Name(), ".") && !e.IsDir() {
+			if formatOf(e.Name()) != "" && !strings.HasPrefix(e.Name(), ".") && !e.IsDir() {
 				names = append(names, filepath.Join(path, e.Name()))
 			}
 		}
 		if len(names) == before {
-			return nil, Problems{{Origin{path, 1, 0}, "no .csv, .tsv, .yaml, .yml or .json file in this directory"}}
+			return nil, Problems{{Origin{path, 1, 0}, "the directory contains no .csv, .tsv, .yaml, .yml or .json file"}}
 		}
 	}
 	return slices.Compact(names), nil
 }
 
-func kindOf(name string) string {
+func formatOf(name string) string {
 	switch strings.ToLower(filepath.Ext(name)) {
 	case ".csv", ".tsv":
 		return "csv"
@@ -96,29 +99,29 @@
 	return ""
 }
 
-// Parse checks files that were read and makes one inventory of them.
+// Parse parses and checks files as one inventory. The error, if any, is Problems; the set is nil then.
 func Parse(files []File, o Options) (*Set, error) {
-	c := &collector{halls: o.Halls}
+	c := &collector{zones: o.Halls}
 	for _, f := range files {
-		if !c.readable(f) {
+		if !c.checkText(f) {
 			continue
 		}
-		switch kindOf(f.Path) {
+		switch formatOf(f.Path) {
 		case "csv":
 			c.readCSV(f.Path, bytes.TrimPrefix(f.Text, []byte("\ufeff")))
 		case "yaml":
 			c.readYAML(f.Path, bytes.TrimPrefix(f.Text, []byte("\ufeff")))
 		default:
-			c.problem(Origin{f.Path, 1, 0}, "neither .csv nor .tsv, .yaml, .yml or .json")
+			c.problem(Origin{f.Path, 1, 0}, "unknown type of file; .csv, .tsv, .yaml, .yml or .json is needed")
 		}
 	}
-	set := c.whole()
-	c.members(set, o.MinMembers)
+	set := c.finish()
+	c.checkMembers(set, o.MinMembers)
 	if len(c.problems) > 0 {
 		return nil, c.problems.sorted()
 	}
 	if len(set.Nodes) == 0 {
-		return nil, Problems{{Origin{strings.Join(pathsOf(files), ", "), 1, 0}, "holds no node"}}
+		return nil, Problems{{Origin{strings.Join(pathsOf(files), ", "), 1, 0}, "the inventory contains no nodes"}}
 	}
 	return set, nil
 }
@@ -131,8 +134,8 @@
 	return names
 }
 
-// readable looks at what no reader should be given.
-func (c *collector) readable(f File) bool {
+// checkText rejects files that are empty, not UTF-8 or contain NUL bytes or merge conflicts.
+func (c *collector) checkText(f File) bool {
 	before := len(c.problems)
 	if len(bytes.TrimSpace(f.Text)) == 0 {
 		c.problem(Origin{f.Path, 1, 0}, "the file is empty")
@@ -144,7 +147,7 @@
 		at := Origin{f.Path, n, 0}
 		if i := bytes.IndexByte(line, 0); i >= 0 {
 			at.Column = i + 1
-			c.problem(at, "holds a NUL byte")
+			c.problem(at, "the line contains a NUL byte")
 		} else if !utf8.Valid(line) {
 			at.Column = 1 + invalidAt(line)
 			c.problem(at, "not UTF-8 text")
@@ -168,8 +171,8 @@
 	return 0
 }
 
-// members checks that no slice is left with fewer nodes than it needs.
-func (c *collector) members(set *Set, least int) {
+// checkMembers records a problem for each slice with fewer than least nodes, or with none. Nodes with state gone don't count.
+func (c *collector) checkMembers(set *Set, least int) {
 	count, first := map[string]int{}, map[string]*Node{}
 	for i := range set.Nodes {
 		n := &set.Nodes[i]
@@ -182,12 +185,12 @@
 	}
 	for _, n := range set.Nodes {
 		if n.Slice != "" && first[n.Slice].Name == n.Name && count[n.Slice] < max(1, least) {
-			c.problem(n.Origin, "slice %q has %d members that are not gone, %d at the least", n.Slice, count[n.Slice], max(1, least))
+			c.problem(n.Origin, "slice %q has %d members that are not gone; at least %d are needed", n.Slice, count[n.Slice], max(1, least))
 		}
 	}
 }
 
-// Digest tells two readings of the same files apart.
+// Digest returns a hash of the paths and contents of files, to detect changes.
 func Digest(files []File) uint64 {
 	d := xxhash.New()
 	for _, f := range files {
--- a/inventory/schema.go
+++ b/inventory/schema.go
@@ -14,7 +14,7 @@
 	"golang.org/x/text/message"
 )
 
-// Schema is the JSON Schema of one YAML document, for editors. Read checks by it too.
+// Schema is the JSON Schema of one YAML document of an inventory, for editors. Parse validates documents with it too.
 //
 //go:embed schema.json
 var Schema []byte
@@ -32,26 +32,25 @@
 	return c.Compile(id)
 })
 
-// schema checks a document by the published schema. What the readers have named already, from problem number
-// first on, is not said again for the same line.
-func (y *yamlFile) schema(root *yaml.Node, first int) {
+// checkSchema validates a document with Schema. Lines that already have a problem, from index first on, get no further one.
+func (y *yamlFile) checkSchema(root *yaml.Node, first int) {
 	s, err := compiled()
 	if err != nil {
-		y.problem(y.at(root), "the schema itself: %v", err)
+		y.problem(y.at(root), "internal error: the inventory schema does not compile: %v", err)
 		return
 	}
-	said := map[int]bool{}
+	reported := map[int]bool{}
 	for _, p := range y.problems[first:] {
-		said[p.Line] = true
+		reported[p.Line] = true
 	}
 	var failed *jsonschema.ValidationError
-	if y.left <= 0 || !errors.As(s.Validate(y.generic(root, 0)), &failed) {
+	if y.budget <= 0 || !errors.As(s.Validate(y.jsonValue(root, 0)), &failed) {
 		return
 	}
 	for _, leaf := range leaves(failed) {
-		n := y.find(root, leaf.InstanceLocation)
-		if !said[n.Line] {
-			said[n.Line] = true
+		n := y.locate(root, leaf.InstanceLocation)
+		if !reported[n.Line] {
+			reported[n.Line] = true
 			y.problem(y.at(n), "%s: %s", strings.Join(leaf.InstanceLocation, "."), leaf.ErrorKind.LocalizedString(message.NewPrinter(language.English)))
 		}
 	}
@@ -67,8 +66,8 @@
 	return all
 }
 
-// find is the value at a place that the schema names, or the nearest above it.
-func (y *yamlFile) find(n *yaml.Node, path []string) *yaml.Node {
+// locate returns the value at path below n, or its nearest existing ancestor.
+func (y *yamlFile) locate(n *yaml.Node, path []string) *yaml.Node {
 	for _, step := range path {
 		if n = y.follow(n, 0); n == nil {
 			break
--- a/inventory/watch.go
+++ b/inventory/watch.go
@@ -12,72 +12,73 @@
 	"github.com/fsnotify/fsnotify"
 )
 
-// Update is what a Watcher found when the files had changed and were quiet again.
+// Update is the result of reading the files once they were stable.
 type Update struct {
-	Set    *Set // nil if there is none
+	Set    *Set // nil if Err is set
 	Digest uint64
-	Err    error // Problems, or what the system said, where Set is nil
+	Err    error // Problems, or wraps the error of the system or of the context
 	At     time.Time
 }
 
-// Watcher follows the files of an inventory. It looks when the system tells of a change, and every Poll as a
-// fall-back. A change is taken only once two readings with Quiet between them agree: a file that is written
-// in pieces, cut first, removed for a moment or replaced is read when that is over.
+// Watcher follows the files of an inventory, by notifications of the system and by polling in case these don't come. A change
+// is reported only when two reads, SettleTime apart, agree. Otherwise a file that is being written in pieces, was truncated
+// first or is removed for a moment would be reported half-written or missing.
 type Watcher struct {
-	Paths   []string
-	Options Options
-	Quiet   time.Duration // 100 ms if zero
-	Poll    time.Duration // 2 s if zero
+	Paths        []string
+	Options      Options
+	SettleTime   time.Duration // 100 ms if not positive
+	PollInterval time.Duration // 2 s if not positive
 }
 
-// Read reads the files until two readings agree, or ctx ends. Whatever the outcome, it is an Update.
+// Read reads the files every SettleTime until two consecutive reads agree, and returns the result. If ctx ends first, Err is that
+// of ctx.
 func (w *Watcher) Read(ctx context.Context) Update {
-	var last reading
+	var last snapshot
 	for first := true; ; first = false {
-		now := w.reading()
-		if !first && now.same(last) {
+		now := w.read()
+		if !first && now.equal(last) {
 			return w.update(now)
 		}
 		last = now
 		select {
-		case <-time.After(w.quiet()):
+		case <-time.After(w.settleTime()):
 		case <-ctx.Done():
 			return Update{Err: ctx.Err(), At: time.Now()}
 		}
 	}
 }
 
-func (w *Watcher) quiet() time.Duration {
-	if w.Quiet > 0 {
-		return w.Quiet
+func (w *Watcher) settleTime() time.Duration {
+	if w.SettleTime > 0 {
+		return w.SettleTime
 	}
 	return 100 * time.Millisecond
 }
 
-// reading is the files as they stood at one time.
-type reading struct {
+// snapshot is the contents of the files at one time, or the error of reading them.
+type snapshot struct {
 	files  []File
 	digest uint64
 	err    error
 }
 
-func (w *Watcher) reading() reading {
+func (w *Watcher) read() snapshot {
 	files, err := ReadFiles(w.Paths)
-	r := reading{files: files, err: err}
+	r := snapshot{files: files, err: err}
 	if err == nil {
 		r.digest = Digest(files)
 	}
 	return r
 }
 
-func (r reading) same(o reading) bool {
+func (r snapshot) equal(o snapshot) bool {
 	if r.err != nil || o.err != nil {
 		return r.err != nil && o.err != nil && r.err.Error() == o.err.Error()
 	}
 	return r.digest == o.digest
 }
 
-func (w *Watcher) update(r reading) Update {
+func (w *Watcher) update(r snapshot) Update {
 	u := Update{Digest: r.digest, Err: r.err, At: time.Now()}
 	if r.err == nil {
 		u.Set, u.Err = Parse(r.files, w.Options)
@@ -85,40 +86,40 @@
 	return u
 }
 
-// Run calls changed for every settled change after the one with the digest given, until ctx ends. It calls it
-// again for a file that stays bad only when that file changes.
+// Run calls changed for every change of the files after the contents with digest since, mistakes included, once they are stable.
+// Files with mistakes are reported again only when they change. It blocks until ctx ends and returns nil.
 func (w *Watcher) Run(ctx context.Context, since uint64, changed func(Update)) error {
-	events, stop := w.notices()
+	events, stop := w.subscribe()
 	defer stop()
-	poll := w.Poll
+	poll := w.PollInterval
 	if poll <= 0 {
 		poll = 2 * time.Second
 	}
 	ticker := time.NewTicker(poll)
 	defer ticker.Stop()
-	last := reading{digest: since}
+	last := snapshot{digest: since}
 	signature := ""
 	for first := true; ; first = false {
-		noticed := first // it may have changed before this began to look
+		notified := first // the files may have changed before the watch was set
 		if !first {
 			select {
 			case <-ctx.Done():
 				return nil
 			case <-events:
-				noticed = true
+				notified = true
 			case <-ticker.C:
 			}
 		}
 		now := w.signature()
-		if !noticed && now == signature {
+		if !notified && now == signature {
 			continue
 		}
 		signature = now
-		r := w.settle(ctx)
+		r := w.readStable(ctx)
 		if ctx.Err() != nil {
 			return nil
 		}
-		if !r.same(last) {
+		if !r.equal(last) {
 			last = r
 			changed(w.update(r))
 		}
@@ -126,23 +127,23 @@
 	}
 }
 
-// settle reads until two readings agree.
-func (w *Watcher) settle(ctx context.Context) reading {
-	for last := w.reading(); ; {
+// readStable reads the files every SettleTime until two consecutive reads agree or ctx ends.
+func (w *Watcher) readStable(ctx context.Context) snapshot {
+	for last := w.read(); ; {
 		select {
-		case <-time.After(w.quiet()):
+		case <-time.After(w.settleTime()):
 		case <-ctx.Done():
 			return last
 		}
-		now := w.reading()
-		if now.same(last) {
+		now := w.read()
+		if now.equal(last) {
 			return now
 		}
 		last = now
 	}
 }
 
-// signature tells, without reading, whether a file is likely to have changed.
+// signature returns names, sizes and modification times of the files, to detect likely changes without reading them.
 func (w *Watcher) signature() string {
 	names, err := List(w.Paths)
 	if err != nil {
@@ -157,9 +158,9 @@
 	return b.String()
 }
 
-// notices gives a signal when the system tells of a change in one of the directories that matter. Where it
-// can't, polling remains.
-func (w *Watcher) notices() (<-chan struct{}, func()) {
+// subscribe returns a channel that receives when a directory of the files changes, and a function that ends the subscription.
+// If the system supports no notifications the channel never receives, and Run relies on polling.
+func (w *Watcher) subscribe() (<-chan struct{}, func()) {
 	signal := make(chan struct{}, 1)
 	fs, err := fsnotify.NewWatcher()
 	if err != nil {
@@ -168,7 +169,7 @@
 	for _, path := range w.Paths {
 		fs.Add(dirOf(path))
 		if target, err := filepath.EvalSymlinks(path); err == nil {
-			fs.Add(dirOf(target)) // a link swapped, or what it leads to written
+			fs.Add(dirOf(target)) // path may be a symbolic link, whose target is replaced or written to
 		}
 	}
 	done := make(chan struct{})
--- a/inventory/write.go
+++ b/inventory/write.go
@@ -13,22 +13,22 @@
 	"go.yaml.in/yaml/v3"
 )
 
-// plainNode is a node as JSON and YAML are written: exactly these keys.
-type plainNode struct {
+// outputNode is a node as written in JSON and YAML. JSON always has all keys, for programs that read it.
+type outputNode struct {
 	Name    string            `json:"name" yaml:"name"`
 	Host    string            `json:"host" yaml:"host"`
 	Port    int               `json:"port" yaml:"port"`
 	Slice   string            `json:"slice" yaml:"slice"`
-	Hall    string            `json:"hall" yaml:"hall,omitempty"`
+	Zone    string            `json:"hall" yaml:"hall,omitempty"`
 	State   State             `json:"state" yaml:"state"`
-	Started *string           `json:"started" yaml:"started,omitempty"` // null if not told
+	Started *string           `json:"started" yaml:"started,omitempty"` // nil if unknown
 	Labels  map[string]string `json:"labels" yaml:"labels,omitempty"`
 }
 
-func plainOf(s *Set) []plainNode {
-	nodes := make([]plainNode, len(s.Nodes))
+func outputNodes(s *Set) []outputNode {
+	nodes := make([]outputNode, len(s.Nodes))
 	for i, n := range s.Nodes {
-		nodes[i] = plainNode{n.Name, n.Host, n.Port, n.Slice, n.Hall, n.State, nil, n.Labels}
+		nodes[i] = outputNode{n.Name, n.Host, n.Port, n.Slice, n.Hall, n.State, nil, n.Labels}
 		if !n.Started.IsZero() {
 			text := n.Started.Format(time.RFC3339)
 			nodes[i].Started = &text
@@ -37,17 +37,18 @@
 	return nodes
 }
 
-// Formats are the forms that Write knows.
+// Formats lists the formats that Write accepts.
 var Formats = []string{"table", "json", "yaml", "csv"}
 
-// Write writes a set, sorted by slice, then name. What it writes as YAML or CSV can be read again.
+// Write writes the set to w in one of Formats. Parse accepts the yaml and csv output and returns an equal set. The error is that
+// of w, or names an unknown format.
 func (s *Set) Write(w io.Writer, format string) error {
 	switch format {
 	case "json":
 		enc := json.NewEncoder(w)
 		enc.SetIndent("", "  ")
 		enc.SetEscapeHTML(false)
-		return enc.Encode(plainOf(s))
+		return enc.Encode(outputNodes(s))
 	case "yaml":
 		return s.writeYAML(w)
 	case "csv":
@@ -55,16 +56,16 @@
 	case "table":
 		return s.writeTable(w)
 	}
-	return fmt.Errorf("format %q is none of %v", format, Formats)
+	return fmt.Errorf("unknown format %q; want one of %v", format, Formats)
 }
 
-// writeYAML writes texts in quotes, so that no tool reads them as anything else.
+// writeYAML puts strings in quotes, so that no tool reads them as numbers or booleans.
 func (s *Set) writeYAML(w io.Writer) error {
 	var doc yaml.Node
-	if err := doc.Encode(map[string][]plainNode{"nodes": plainOf(s)}); err != nil {
+	if err := doc.Encode(map[string][]outputNode{"nodes": outputNodes(s)}); err != nil {
 		return err
 	}
-	quoteTexts(&doc, false)
+	quoteStrings(&doc, false)
 	enc := yaml.NewEncoder(w)
 	enc.SetIndent(2)
 	if err := enc.Encode(&doc); err != nil {
@@ -73,12 +74,12 @@
 	return enc.Close()
 }
 
-func quoteTexts(n *yaml.Node, key bool) {
+func quoteStrings(n *yaml.Node, key bool) {
 	if n.Kind == yaml.ScalarNode && n.Tag == "!!str" && !key {
 		n.Style = yaml.DoubleQuotedStyle
 	}
 	for i, child := range n.Content {
-		quoteTexts(child, n.Kind == yaml.MappingNode && i%2 == 0)
+		quoteStrings(child, n.Kind == yaml.MappingNode && i%2 == 0)
 	}
 }
 
@@ -103,8 +104,8 @@
 		header = append(header, "label:"+l)
 	}
 	out.Write(header)
-	for _, n := range plainOf(s) {
-		row := []string{n.Name, n.Host, strconv.Itoa(n.Port), n.Slice, n.Hall, string(n.State), ""}
+	for _, n := range outputNodes(s) {
+		row := []string{n.Name, n.Host, strconv.Itoa(n.Port), n.Slice, n.Zone, string(n.State), ""}
 		if n.Started != nil {
 			row[6] = *n.Started
 		}
@@ -125,11 +126,11 @@
 		if !n.Started.IsZero() {
 			started = n.Started.Format(time.RFC3339)
 		}
-		hall := n.Hall
-		if hall == "" {
-			hall = "-"
+		zone := n.Hall
+		if zone == "" {
+			zone = "-"
 		}
-		fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%s\t%s\t%s\n", n.Slice, n.Name, n.Address(), hall, n.State, started, n.Origin)
+		fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%s\t%s\t%s\n", n.Slice, n.Name, n.Address(), zone, n.State, started, n.Origin)
 	}
 	return t.Flush()
 }
--- a/inventory/yaml.go
+++ b/inventory/yaml.go
@@ -15,19 +15,19 @@
 	"go.yaml.in/yaml/v3"
 )
 
-// maxExpanded bounds what aliases and merge keys may make of one file, in nodes of YAML.
+// maxExpanded is the maximum number of YAML values in one file after expansion of aliases and merge keys.
 const maxExpanded = 1 << 20
 
 // yamlFile reads one YAML file.
 type yamlFile struct {
 	*collector
-	file string
-	left int // of maxExpanded
+	file   string
+	budget int // remaining values of maxExpanded
 }
 
-// readYAML reads one YAML file of any number of documents: Ansible's inventory form, or a list under "nodes".
+// readYAML reads one YAML file of any number of documents, each an Ansible inventory or a list under "nodes".
 func (c *collector) readYAML(file string, text []byte) {
-	y := &yamlFile{collector: c, file: file, left: maxExpanded}
+	y := &yamlFile{collector: c, file: file, budget: maxExpanded}
 	dec := yaml.NewDecoder(bytes.NewReader(text))
 	documents := 0
 	for {
@@ -37,7 +37,7 @@
 			break
 		}
 		if err != nil {
-			y.syntax(text, err)
+			y.reportSyntax(text, err)
 			return
 		}
 		if len(doc.Content) == 0 || doc.Content[0].Tag == "!!null" {
@@ -45,11 +45,11 @@
 		}
 		documents++
 		before := len(c.problems)
-		y.document(doc.Content[0])
-		y.schema(doc.Content[0], before)
+		y.readDocument(doc.Content[0])
+		y.checkSchema(doc.Content[0], before)
 	}
 	if documents == 0 {
-		c.problem(Origin{file, 1, 0}, "holds no node")
+		c.problem(Origin{file, 1, 0}, "the file contains no nodes")
 	}
 }
 
@@ -60,8 +60,8 @@
 	yamlAlias = regexp.MustCompile(`^unknown anchor '(.*)' referenced$`)
 )
 
-// fault takes a parser's error apart: what is wrong, and the line that it names, 1 if none.
-func fault(err error) (what string, line int) {
+// splitError splits an error of the YAML parser into its text and the line that it names, 1 if none.
+func splitError(err error) (what string, line int) {
 	what, line = strings.TrimPrefix(err.Error(), "yaml: "), 1
 	if m := yamlLine.FindStringSubmatch(what); m != nil {
 		line, _ = strconv.Atoi(m[1])
@@ -70,24 +70,25 @@
 	return what, line
 }
 
-// early are the errors for which the parser names a line before the mistake, or none: its own, of which the line is
-// counted from 0 and may be where a whole list began, tabs, where it is that of the word before, and aliases.
-var early = regexp.MustCompile(`^did not find expected (node content|',' or '[}\]]'|'-' indicator|key|<document start>)|tab character|unknown anchor`)
+// imprecise matches the parser errors that name a line before the mistake, or none. For "did not find expected" the line is
+// counted from 0 and may be that of the start of the list, for tabs it is that of the preceding word, and for unknown anchors
+// there is none.
+var imprecise = regexp.MustCompile(`^did not find expected (node content|',' or '[}\]]'|'-' indicator|key|<document start>)|tab character|unknown anchor`)
 
-// syntax takes the parser's own error. Where its line may be too early, the mistake is in the last line of the
-// shortest beginning of the file that goes wrong in the same way.
-func (y *yamlFile) syntax(text []byte, err error) {
-	what, from := fault(err)
+// reportSyntax records a parser error. If its line is imprecise, the mistake is on the last line of the shortest prefix of the
+// file that fails with the same error.
+func (y *yamlFile) reportSyntax(text []byte, err error) {
+	what, from := splitError(err)
 	lines := bytes.SplitAfter(text, []byte("\n"))
 	from = min(max(from, 1), len(lines))
 	n := 0
-	if early.MatchString(what) {
+	if imprecise.MatchString(what) {
 		n = sort.Search(len(lines)-from, func(i int) bool {
-			err := parses(bytes.Join(lines[:from+i], nil))
+			err := firstError(bytes.Join(lines[:from+i], nil))
 			if err == nil {
 				return false
 			}
-			same, _ := fault(err)
+			same, _ := splitError(err)
 			return same == what
 		})
 	}
@@ -96,13 +97,13 @@
 		at.Column = 1 + bytes.Index(lines[at.Line-1], []byte("*"+m[1]))
 	}
 	if strings.Contains(what, "cannot start any token") && bytes.ContainsRune(lines[at.Line-1], '\t') {
-		what += "; YAML takes no tabs for indentation"
+		what += "; YAML does not allow tabs for indentation"
 	}
-	y.problem(at, "not YAML: %s", what)
+	y.problem(at, "invalid YAML: %s", what)
 }
 
-// parses tells what is wrong with a text as YAML, nil if nothing is.
-func parses(text []byte) error {
+// firstError returns the first parser error of a YAML text, or nil.
+func firstError(text []byte) error {
 	dec := yaml.NewDecoder(bytes.NewReader(text))
 	for {
 		var doc yaml.Node
@@ -114,9 +115,9 @@
 	}
 }
 
-func (y *yamlFile) document(root *yaml.Node) {
+func (y *yamlFile) readDocument(root *yaml.Node) {
 	if root.Kind != yaml.MappingNode {
-		y.problem(y.at(root), `a list stands at the top; put it under "nodes:"`)
+		y.problem(y.at(root), `the top level must be a mapping; put a list of nodes under "nodes:"`)
 		return
 	}
 	pairs := y.pairs(root, 0)
@@ -126,16 +127,17 @@
 				y.problem(y.at(p.key), "unknown key %q beside \"nodes\"", p.key.Value)
 			}
 		}
-		y.list(pairs[i].value)
+		y.readList(pairs[i].value)
 		return
 	}
 	newAnsible(y).read(pairs)
 }
 
-// pair is a key of a mapping and what stands under it, aliases followed.
+// pair is a key of a mapping and its value, with aliases resolved.
 type pair struct{ key, value *yaml.Node }
 
-// pairs are the keys of a mapping, merge keys carried out; keys of its own come before merged ones.
+// pairs returns the keys and values of a mapping, with merge keys expanded. Keys of the mapping itself precede and override
+// merged ones.
 func (y *yamlFile) pairs(n *yaml.Node, depth int) []pair {
 	if n = y.follow(n, depth); n == nil || n.Kind != yaml.MappingNode {
 		return nil
@@ -144,9 +146,9 @@
 	seen := map[string]*yaml.Node{}
 	for i := 0; i+1 < len(n.Content); i += 2 {
 		key, v := n.Content[i], n.Content[i+1]
-		if y.left--; y.left <= 0 {
-			if y.left == 0 {
-				y.problem(y.at(key), "aliases make this file larger than %d values", maxExpanded)
+		if y.budget--; y.budget <= 0 {
+			if y.budget == 0 {
+				y.problem(y.at(key), "aliases and merge keys expand this file to more than %d values", maxExpanded)
 			}
 			return nil
 		}
@@ -155,11 +157,11 @@
 			continue
 		}
 		if key.Kind != yaml.ScalarNode {
-			y.problem(y.at(key), "a key must be a plain word")
+			y.problem(y.at(key), "a key must be a single value")
 			continue
 		}
 		if first := seen[key.Value]; first != nil {
-			y.problem(y.at(key), "key %q stands in line %d already", key.Value, first.Line)
+			y.problem(y.at(key), "key %q is already set on line %d", key.Value, first.Line)
 			continue
 		}
 		seen[key.Value] = key
@@ -194,73 +196,73 @@
 	return nil
 }
 
-// follow gives what an alias stands for; nil where aliases go round or too deep.
+// follow resolves aliases. It records a problem and returns nil if they are circular or deeper than maxDepth levels.
 func (y *yamlFile) follow(n *yaml.Node, depth int) *yaml.Node {
 	for hops := 0; n.Kind == yaml.AliasNode; hops++ {
 		if hops+depth > maxDepth {
-			y.problem(y.at(n), "aliases go deeper than %d", maxDepth)
+			y.problem(y.at(n), "aliases are nested deeper than %d levels", maxDepth)
 			return nil
 		}
 		n = n.Alias
 	}
 	if depth > maxDepth {
-		y.problem(y.at(n), "nested deeper than %d", maxDepth)
+		y.problem(y.at(n), "values are nested deeper than %d levels", maxDepth)
 		return nil
 	}
 	return n
 }
 
-// list reads a plain list of nodes.
-func (y *yamlFile) list(n *yaml.Node) {
+// readList reads the nodes of a plain list.
+func (y *yamlFile) readList(n *yaml.Node) {
 	if n = y.follow(n, 0); n == nil {
 		return
 	}
 	if n.Kind != yaml.SequenceNode {
-		y.problem(y.at(n), `"nodes" wants a list`)
+		y.problem(y.at(n), `"nodes" must be a list`)
 		return
 	}
 	if len(n.Content) == 0 {
-		y.problem(y.at(n), "holds no node")
+		y.problem(y.at(n), "the list contains no nodes")
 	}
 	for _, item := range n.Content {
 		if item = y.follow(item, 0); item == nil {
 			continue
 		}
 		if item.Kind != yaml.MappingNode {
-			y.problem(y.at(item), "a node is a mapping of name, host, port, slice and hall")
+			y.problem(y.at(item), "a node must be a mapping of name, host, port, slice and hall")
 			continue
 		}
-		r := newRaw(y.at(item))
+		r := newRawNode(y.at(item))
 		for _, p := range y.pairs(item, 0) {
-			y.nodeKey(r, p)
+			y.readNodeKey(r, p)
 		}
 		y.add(r)
 	}
 }
 
-// aliases are other names under which fields are known.
-var aliases = map[string]string{"ansible_host": "host", "ansible_port": "port"}
+// fieldAliases maps the names of Ansible variables to fields.
+var fieldAliases = map[string]string{"ansible_host": "host", "ansible_port": "port"}
 
-func (y *yamlFile) nodeKey(r *raw, p pair) {
+func (y *yamlFile) readNodeKey(r *rawNode, p pair) {
 	key := p.key.Value
-	if field := aliases[key]; field != "" {
+	if field := fieldAliases[key]; field != "" {
 		key = field
 	}
 	switch {
 	case key == "labels":
-		y.labels(r, p.value)
+		y.readLabels(r, p.value)
 	case slices.Contains(fields, key):
-		y.field(r, key, p)
+		y.readField(r, key, p)
 	case strings.HasPrefix(key, "ansible_"):
-		r.labels[key] = value{y.plain(p.value), y.at(p.value)}
+		r.labels[key] = value{y.labelText(p.value), y.at(p.value)}
 	default:
-		y.problem(y.at(p.key), "unknown key %q%s; what is your own goes under labels", key, hint(key, fields))
+		y.problem(y.at(p.key), "unknown key %q%s; put keys of your own under labels", key, suggestion(key, fields))
 	}
 }
 
-func (y *yamlFile) field(r *raw, field string, p pair) {
+func (y *yamlFile) readField(r *rawNode, field string, p pair) {
 	if first, again := r.values[field]; again {
-		y.problem(y.at(p.key), "%s is told in line %d already", field, first.at.Line)
+		y.problem(y.at(p.key), "%s is already set on line %d", field, first.at.Line)
 		return
 	}
 	if text, ok := y.scalar(field, p.value); ok {
@@ -268,9 +270,9 @@
 	}
 }
 
-func (y *yamlFile) labels(r *raw, n *yaml.Node) {
+func (y *yamlFile) readLabels(r *rawNode, n *yaml.Node) {
 	if n.Kind != yaml.MappingNode {
-		y.problem(y.at(n), "labels want a mapping")
+		y.problem(y.at(n), "labels must be a mapping")
 		return
 	}
 	for _, p := range y.pairs(n, 0) {
@@ -280,22 +282,22 @@
 	}
 }
 
-// Plain words that other tools, or older YAML, read as something else than the text that stands there.
+// Unquoted words that other tools, or older versions of YAML, do not read as strings.
 var (
-	trapWord  = regexp.MustCompile(`^(?i:y|n|yes|no|on|off|true|false|null|~)$`)
-	trapOctal = regexp.MustCompile(`^[-+]?0[0-9_]+$`)
-	trapOther = regexp.MustCompile(`^[-+]?(0[xXobB][0-9a-fA-F_]+|[0-9][0-9_]*\.?[0-9_]*[eE][-+]?[0-9]+|[0-9]*\.[0-9]+|[0-9]+\.[0-9]*|[0-9]+_[0-9_]+|\.(?i:inf|nan)|[0-9]+(:[0-5]?[0-9])+(\.[0-9]*)?)$`)
+	ambiguousWord   = regexp.MustCompile(`^(?i:y|n|yes|no|on|off|true|false|null|~)$`)
+	ambiguousOctal  = regexp.MustCompile(`^[-+]?0[0-9_]+$`)
+	ambiguousNumber = regexp.MustCompile(`^[-+]?(0[xXobB][0-9a-fA-F_]+|[0-9][0-9_]*\.?[0-9_]*[eE][-+]?[0-9]+|[0-9]*\.[0-9]+|[0-9]+\.[0-9]*|[0-9]+_[0-9_]+|\.(?i:inf|nan)|[0-9]+(:[0-5]?[0-9])+(\.[0-9]*)?)$`)
 )
 
-// scalar is the text of a field. Plain words that are no text to every tool are mistakes.
+// scalar returns the text of a field. Unquoted words that some tools don't read as strings are problems; it returns false then.
 func (y *yamlFile) scalar(field string, n *yaml.Node) (string, bool) {
 	if n.Kind != yaml.ScalarNode {
-		y.problem(y.at(n), "%s wants a single value", field)
+		y.problem(y.at(n), "%s must be a single value", field)
 		return "", false
 	}
 	quoted := n.Style&(yaml.SingleQuotedStyle|yaml.DoubleQuotedStyle|yaml.LiteralStyle|yaml.FoldedStyle) != 0
 	if quoted && field == "port" {
-		y.problem(y.at(n), "port is the text %q; write the number without quotes", n.Value)
+		y.problem(y.at(n), "port %q is quoted; write the number without quotes", n.Value)
 		return "", false
 	}
 	if quoted {
@@ -304,12 +306,12 @@
 	why := ""
 	switch {
 	case n.Value == "" || n.Tag == "!!null":
-		why = "nothing (null)"
-	case trapWord.MatchString(n.Value):
-		why = "a truth value"
-	case trapOctal.MatchString(n.Value):
+		why = "null"
+	case ambiguousWord.MatchString(n.Value):
+		why = "a boolean"
+	case ambiguousOctal.MatchString(n.Value):
 		why = "an octal number"
-	case trapOther.MatchString(n.Value):
+	case ambiguousNumber.MatchString(n.Value):
 		why = "a number or a time"
 	}
 	if why != "" {
@@ -320,35 +322,35 @@
 	return n.Value, true
 }
 
-// plain is any value as text: scalars as they stand, the rest as JSON.
-func (y *yamlFile) plain(n *yaml.Node) string {
+// labelText returns any value as text: a scalar as written, anything else as JSON.
+func (y *yamlFile) labelText(n *yaml.Node) string {
 	if n.Kind == yaml.ScalarNode {
 		return n.Value
 	}
-	text, err := json.Marshal(y.generic(n, 0))
+	text, err := json.Marshal(y.jsonValue(n, 0))
 	if err != nil {
 		return fmt.Sprint(err)
 	}
 	return string(text)
 }
 
-// generic is a value of JSON's kinds, for the schema and for labels.
-func (y *yamlFile) generic(n *yaml.Node, depth int) any {
-	if n = y.follow(n, depth); n == nil || y.left <= 0 {
+// jsonValue converts a YAML value for encoding as JSON and for the validation with Schema.
+func (y *yamlFile) jsonValue(n *yaml.Node, depth int) any {
+	if n = y.follow(n, depth); n == nil || y.budget <= 0 {
 		return nil
 	}
 	switch n.Kind {
 	case yaml.MappingNode:
 		m := map[string]any{}
 		for _, p := range y.pairs(n, depth+1) {
-			m[p.key.Value] = y.generic(p.value, depth+1)
+			m[p.key.Value] = y.jsonValue(p.value, depth+1)
 		}
 		return m
 	case yaml.SequenceNode:
 		list := make([]any, 0, len(n.Content))
 		for _, item := range n.Content {
-			y.left--
-			list = append(list, y.generic(item, depth+1))
+			y.budget--
+			list = append(list, y.jsonValue(item, depth+1))
 		}
 		return list
 	}
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -167,7 +167,7 @@
 	}
 }
 
-func TestShowIsReadBack(t *testing.T) {
+func TestShowAndParse(t *testing.T) {
 	for _, text := range []string{full, "class a {\neffect unsafe\nneed write\ntarget 1s\ndeadline 1s\n}\n"} {
 		s := parse(t, text)
 		var shown strings.Builder
@@ -265,9 +265,9 @@
 	}
 }
 
-// TestAnyTextGetsAnAnswer parses random sequences of words from a settings file. Parse must return either settings or an
+// TestParseAnyText parses random sequences of words from a settings file. Parse must return either settings or an
 // error, and every problem must lie within the text.
-func TestAnyTextGetsAnAnswer(t *testing.T) {
+func TestParseAnyText(t *testing.T) {
 	pieces := append(strings.Fields(full), "{", "}", "\n", "\n", "\"", "#", "\\", "=", "\r\n", "\t")
 	rapid.Check(t, func(t *rapid.T) {
 		text := strings.Join(rapid.SliceOfN(rapid.SampledFrom(pieces), 0, 60).Draw(t, "pieces"), " ")
