--- a/lab/experiment/experiment_test.go
+++ b/lab/experiment/experiment_test.go
@@ -34,7 +34,8 @@
 	return x
 }
 
-// TestEveryTrouble: each kind strikes, no rule breaks, most is served, and the run differs from the one without it.
+// TestEveryTrouble checks for each kind of trouble that it takes effect, breaks no rule, leaves at least half of the requests
+// served and changes the run.
 func TestEveryTrouble(t *testing.T) {
 	run := func(more string) Figures {
 		t.Helper()
@@ -43,7 +44,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if n, lines := Broken(all, x); n > 0 {
+		if n, lines := BrokenRules(all, x); n > 0 {
 			t.Errorf("%s: %v", more, lines)
 		}
 		return all[0].Runs[0]
@@ -55,46 +56,47 @@
 			size = map[string]string{"lost": "size 10%", "path": "size 20", "load": "size 3", "slow": "size 5", "lag": "size 40", "full": "size 2", "greet": "size 50", "reap": "size 20", "bad": "size 30%", "hot": "size 80%"}[name]
 		}
 		plain, more := plain, ""
-		if name == "deaf" { // to what there is to hear
+		if name == "deaf" { // this trouble only shows if the node list changes
 			more = "trouble drain {\nat 3s\nfor 1s\n}\n"
 			plain = run(more)
 		}
-		lasts := map[bool]string{true: "2s", false: "1s"}[name == "deaf"]
-		f := run(more + fmt.Sprintf("trouble %s {\nat 3s\nfor %s\nall on\n%s\n}", name, lasts, size))
+		length := map[bool]string{true: "2s", false: "1s"}[name == "deaf"]
+		f := run(more + fmt.Sprintf("trouble %s {\nat 3s\nfor %s\nall on\n%s\n}", name, length, size))
 		if f.Struck != 1+strings.Count(more, "trouble") || f.Served < 0.5 || f.Digest == plain.Digest {
 			t.Errorf("%s: %+v", name, f)
 		}
 	}
 }
 
-// TestSameFiguresOnAnyCores: one run after the other or four at once, the figures are the same, arm by arm.
-func TestSameFiguresOnAnyCores(t *testing.T) {
+// TestParallelRunsGiveSameFigures checks that figures do not depend on how many runs are in parallel.
+func TestParallelRunsGiveSameFigures(t *testing.T) {
 	x := parse(t, "trouble crash {\nat 2s\nmember primary\n}\nvary drivers 2 4")
 	if len(x.Arms) != 2 || x.Arms[1].World.Drivers != 4 || len(x.Arms[1].World.Troubles) != 1 {
 		t.Fatalf("%+v", x.Arms)
 	}
-	one, err := x.Run(context.Background(), Options{Seed: 3, Procs: 1})
+	serial, err := x.Run(context.Background(), Options{Seed: 3, Procs: 1})
 	if err != nil {
 		t.Fatal(err)
 	}
-	four, err := x.Run(context.Background(), Options{Seed: 3, Procs: 4})
+	parallel, err := x.Run(context.Background(), Options{Seed: 3, Procs: 4})
 	if err != nil {
 		t.Fatal(err)
 	}
-	for i := range one {
-		for n := range one[i].Runs {
-			a, b := one[i].Runs[n], four[i].Runs[n]
+	for i := range serial {
+		for n := range serial[i].Runs {
+			a, b := serial[i].Runs[n], parallel[i].Runs[n]
 			if a.Took, b.Took = 0, 0; a.Digest != b.Digest || fmt.Sprint(a) != fmt.Sprint(b) {
 				t.Errorf("arm %d, repeat %d: %+v and %+v", i, n, a, b)
 			}
 		}
 	}
-	if one[0].Runs[0].Digest == one[0].Runs[1].Digest {
-		t.Error("repeats are the same run")
+	if serial[0].Runs[0].Digest == serial[0].Runs[1].Digest {
+		t.Error("two repeats gave the same run")
 	}
 }
 
-// TestPlantedFault: sessions that keep older tokens than they should are found out and counted.
+// TestPlantedFault checks that an injected fault, sessions that keep tokens older than the ones they got, is reported as
+// broken rules.
 func TestPlantedFault(t *testing.T) {
 	x := parse(t, "sessions 3\nkeys 2\nwork 20ms")
 	cfg := &x.Arms[0].World
@@ -105,28 +107,28 @@
 	}
 	var out strings.Builder
 	if n := x.Write(&out, Simulated, all); n == 0 || !strings.Contains(out.String(), "rules broken: ") {
-		t.Errorf("nothing was found:\n%s", out.String())
+		t.Errorf("no broken rule reported:\n%s", out.String())
 	}
 }
 
 func TestMistakes(t *testing.T) {
 	for _, c := range []struct{ more, want string }{
-		{"trouble crash {\nat 7s\n}", "f:12:1: trouble crash comes at 7s, the run ends at 6s"},
-		{"trouble crash {\nat 1s\nslice 2\n}", "strikes a slice, member or driver that arm"},
-		{"trouble slow {\nat 1s\n}", "f:12:1: trouble slow wants a size"},
-		{"trouble crash {\nat 1s\nsize 2\n}", "trouble crash has no size"},
-		{"trouble crush {\nat 1s\n}", `f:12:9: trouble "crush" is not known`},
-		{"trouble cut {\nat 1s\nhall east\n}", `hall "east" is not in halls`},
-		{"trouble lost {\nat 1s\nsize 2\n}", `f:14:6: size: "2" is none`},
-		{"trouble crash {\nfor 1s\n}", "wants a time"},
-		{"drivers 4", "f:12:1: drivers was set already"},
-		{"halls north north", "was set already"},
-		{"arm a {\nhalls x x\n}", "f:13:9: hall x stands twice"},
-		{"arm a {\n}\narm a {\n}", `f:14:5: arm "a" stands twice`},
+		{"trouble crash {\nat 7s\n}", "f:12:1: trouble crash starts at 7s, but the run ends at 6s"},
+		{"trouble crash {\nat 1s\nslice 2\n}", "names a slice, member or driver that arm"},
+		{"trouble slow {\nat 1s\n}", "f:12:1: trouble slow needs a size"},
+		{"trouble crash {\nat 1s\nsize 2\n}", "trouble crash takes no size"},
+		{"trouble crush {\nat 1s\n}", `f:12:9: unknown trouble "crush"`},
+		{"trouble cut {\nat 1s\nhall east\n}", `hall "east" is not listed in halls`},
+		{"trouble lost {\nat 1s\nsize 2\n}", `f:14:6: size: "2" is not valid`},
+		{"trouble crash {\nfor 1s\n}", "needs a time"},
+		{"drivers 4", "f:12:1: drivers is already set"},
+		{"halls north north", "is already set"},
+		{"arm a {\nhalls x x\n}", "f:13:9: hall x is listed twice"},
+		{"arm a {\n}\narm a {\n}", `f:14:5: arm "a" is defined twice`},
 		{"arm a {\ndrvers 2\n}", `f:13:1: unknown directive "drvers"; did you mean "drivers"?`},
 		{"vary drivers 2 x", `f:12:16: drivers: "x" is no whole number`},
-		{"gate perhaps", "f:12:6: gate is on, off or fixed"},
-		{"work soon", `f:12:6: "soon" is no time`},
+		{"gate perhaps", "f:12:6: gate must be on, off or fixed"},
+		{"work soon", `f:12:6: "soon" is not a time`},
 		{"arm a {", "this block is never closed"},
 	} {
 		if _, err := Parse("f", fmt.Sprintf(small, c.more)); err == nil || !strings.Contains(err.Error(), c.want) {
@@ -135,7 +137,7 @@
 	}
 }
 
-// TestVerdict: arms that differ by more than their repeats scatter are told apart, others are not.
+// TestVerdict checks that a difference between arms is reported only if it exceeds the scatter of the repeats.
 func TestVerdict(t *testing.T) {
 	x := &Experiment{Name: "x", Repeats: 5, Arms: make([]Arm, 3)}
 	arm := func(name string, goodputs ...float64) (o Outcome) {
@@ -153,6 +155,6 @@
 		}
 	}
 	if _, high := Interval([]float64{1}); !math.IsNaN(high) {
-		t.Error("one run has an interval")
+		t.Error("interval of a single value is not NaN")
 	}
 }
--- a/lab/experiment/file.go
+++ b/lab/experiment/file.go
@@ -1,5 +1,8 @@
-// Package experiment reads experiments from files in the form of the settings, plays them in simulated time with package
-// lab/world, arms side by side and repeated, and tells what differs and how sure that is. Figures are the model's.
+// Package experiment reads experiment files, written in the syntax of the settings: an installation, its load and its
+// troubles, and arms that change some of these. It runs every arm with several seeds, in simulated time (lab/world) or on
+// sockets (package lab), and gives the figures of each arm, the broken rules and whether arms differ significantly; figures of
+// simulated runs are those of the model. The commands lab run, lab sweep and lab hunt call it, and lab/report uses its
+// confidence intervals.
 package experiment
 
 import (
@@ -17,61 +20,61 @@
 	"umberladder/lab/world"
 )
 
-// Experiment is what a file says.
+// Experiment is a parsed experiment file.
 type Experiment struct {
 	Name    string
 	Repeats int
 	Arms    []Arm
-	Text    string // of the file
+	Text    string // content of the file
 }
 
-// Arm is one of the worlds that are compared. Each repeat has a seed of its own, the same for all arms.
+// Arm is one of the configurations that are compared. Each repeat has its own seed, which is the same in all arms.
 type Arm struct {
 	Name  string
 	World world.Config
 }
 
-// scale is what an arm may set, and the file for all of them.
-type scale struct {
-	drivers, slices, members, cores, tries, sessions, keys, visits, connections int
-	rate, spread, tail, jitter, budget                                          float64
-	lasts, work, way, cross, ship, apply, elect, notice                         time.Duration
-	pause, eventCost, greet, think                                              time.Duration
-	played                                                                      []record.Arrival
-	halls                                                                       []string
-	classes                                                                     []class
-	gate                                                                        string
-	judge                                                                       bool
-	troubles                                                                    []world.Trouble
+// setup is the parameters that a file sets for all arms and that an arm may change. They are documented in world.Config.
+type setup struct {
+	drivers, slices, members, cores, maxTries, sessions, keys, slicesPerSession, maxConnections int
+	rate, workSpread, workTail, jitter, retryBudget                                             float64
+	length, work, oneWayDelay, crossZoneDelay, shipDelay, applyDelay, electionTime, noticeDelay time.Duration
+	retryPause, eventCost, connectionCost, thinkTime                                            time.Duration
+	replay                                                                                      []record.Arrival
+	zones                                                                                       []string
+	classes                                                                                     []class
+	gate                                                                                        string
+	checkSessions                                                                               bool
+	troubles                                                                                    []world.Trouble
 }
 
-func defaults() scale {
-	return scale{drivers: 5, slices: 10, members: 6, cores: 4, tries: 1, sessions: 50, keys: 20, visits: 3, rate: 500, spread: 0.7, lasts: 10 * time.Second,
-		work: 50 * time.Millisecond, way: 500 * time.Microsecond, cross: 500 * time.Microsecond, ship: 6 * time.Millisecond, apply: 3 * time.Millisecond,
-		elect: 2 * time.Second, notice: time.Second, halls: []string{"a"}, gate: "on"}
+func defaults() setup {
+	return setup{drivers: 5, slices: 10, members: 6, cores: 4, maxTries: 1, sessions: 50, keys: 20, slicesPerSession: 3, rate: 500, workSpread: 0.7, length: 10 * time.Second,
+		work: 50 * time.Millisecond, oneWayDelay: 500 * time.Microsecond, crossZoneDelay: 500 * time.Microsecond, shipDelay: 6 * time.Millisecond, applyDelay: 3 * time.Millisecond,
+		electionTime: 2 * time.Second, noticeDelay: time.Second, zones: []string{"a"}, gate: "on"}
 }
 
-// counts, shares and times are the directives with one value, by name.
-func (s *scale) counts() map[string]*int {
-	return map[string]*int{"drivers": &s.drivers, "slices": &s.slices, "members": &s.members, "cores": &s.cores, "tries": &s.tries, "sessions": &s.sessions, "keys": &s.keys, "visits": &s.visits, "connections": &s.connections}
+// intFields, floatFields and durationFields map the directives that take a single value to the fields that they set.
+func (s *setup) intFields() map[string]*int {
+	return map[string]*int{"drivers": &s.drivers, "slices": &s.slices, "members": &s.members, "cores": &s.cores, "tries": &s.maxTries, "sessions": &s.sessions, "keys": &s.keys, "visits": &s.slicesPerSession, "connections": &s.maxConnections}
 }
 
-func (s *scale) numbers() map[string]*float64 {
-	return map[string]*float64{"rate": &s.rate, "spread": &s.spread, "tail": &s.tail, "jitter": &s.jitter, "retry-budget": &s.budget}
+func (s *setup) floatFields() map[string]*float64 {
+	return map[string]*float64{"rate": &s.rate, "spread": &s.workSpread, "tail": &s.workTail, "jitter": &s.jitter, "retry-budget": &s.retryBudget}
 }
 
-func (s *scale) times() map[string]*time.Duration {
-	return map[string]*time.Duration{"for": &s.lasts, "work": &s.work, "way": &s.way, "cross": &s.cross, "ship": &s.ship, "apply": &s.apply, "elect": &s.elect,
-		"notice": &s.notice, "retry-pause": &s.pause, "event-cost": &s.eventCost, "greet": &s.greet, "think": &s.think}
+func (s *setup) durationFields() map[string]*time.Duration {
+	return map[string]*time.Duration{"for": &s.length, "work": &s.work, "way": &s.oneWayDelay, "cross": &s.crossZoneDelay, "ship": &s.shipDelay, "apply": &s.applyDelay, "elect": &s.electionTime,
+		"notice": &s.noticeDelay, "retry-pause": &s.retryPause, "event-cost": &s.eventCost, "greet": &s.connectionCost, "think": &s.thinkTime}
 }
 
-// world is the scale as a world, without a seed.
-func (s *scale) world() world.Config {
-	cfg := world.Newsroom(s.drivers, s.slices, s.members, s.rate, s.lasts)
-	cfg.Cores, cfg.Work, cfg.Spread, cfg.Way, cfg.Cross, cfg.Ship, cfg.Apply = s.cores, s.work, s.spread, s.way, s.cross, s.ship, s.apply
-	cfg.Elect, cfg.Notice, cfg.Tries, cfg.Pause, cfg.Budget, cfg.EventCost = s.elect, s.notice, s.tries, s.pause, s.budget, s.eventCost
-	cfg.Sessions, cfg.Keys, cfg.Visits, cfg.Judge, cfg.Troubles, cfg.Engine.Halls = s.sessions, s.keys, s.visits, s.judge, s.troubles, s.halls
-	cfg.Tail, cfg.Jitter, cfg.Cap, cfg.Greet, cfg.Think, cfg.Played = s.tail, s.jitter, s.connections, s.greet, s.think, s.played
+// config returns the configuration of a run, without its seed.
+func (s *setup) config() world.Config {
+	cfg := world.Newsroom(s.drivers, s.slices, s.members, s.rate, s.length)
+	cfg.Cores, cfg.Work, cfg.Spread, cfg.Way, cfg.Cross, cfg.Ship, cfg.Apply = s.cores, s.work, s.workSpread, s.oneWayDelay, s.crossZoneDelay, s.shipDelay, s.applyDelay
+	cfg.Elect, cfg.Notice, cfg.Tries, cfg.Pause, cfg.Budget, cfg.EventCost = s.electionTime, s.noticeDelay, s.maxTries, s.retryPause, s.retryBudget, s.eventCost
+	cfg.Sessions, cfg.Keys, cfg.Visits, cfg.Judge, cfg.Troubles, cfg.Engine.Halls = s.sessions, s.keys, s.slicesPerSession, s.checkSessions, s.troubles, s.zones
+	cfg.Tail, cfg.Jitter, cfg.Cap, cfg.Greet, cfg.Think, cfg.Played = s.workTail, s.jitter, s.maxConnections, s.connectionCost, s.thinkTime, s.replay
 	cfg.Engine.Router.Classes = slices.Clone(cfg.Engine.Router.Classes)
 	if len(s.classes) > 0 {
 		cfg.Engine.Router.Classes, cfg.Shares = nil, nil
@@ -86,7 +89,7 @@
 	return cfg
 }
 
-// Read reads the experiment at a path.
+// Read reads and parses the experiment file at path.
 func Read(path string) (*Experiment, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -95,261 +98,262 @@
 	return Parse(path, string(text))
 }
 
-// Parse reads an experiment. The error names every mistake with file, line and column.
+// Parse parses the text of an experiment file. The error lists every mistake with file, line and column; paths in
+// it are relative to the directory of file.
 func Parse(file, text string) (*Experiment, error) { return parseAs(file, text, false) }
 
 func parseAs(file, text string, grid bool) (*Experiment, error) {
-	b := &binder{Parser: lines.NewParser(file, text), file: file, x: &Experiment{Name: file, Repeats: 5, Text: text}, base: defaults(), seen: map[string]bool{}}
-	tree := b.Tree()
+	p := &fileParser{Parser: lines.NewParser(file, text), file: file, x: &Experiment{Name: file, Repeats: 5, Text: text}, base: defaults(), seen: map[string]bool{}}
+	tree := p.Tree()
 	for _, d := range tree {
 		if d.Name.Text != "arm" && d.Name.Text != "vary" {
-			b.top(d)
+			p.parseTopLevel(d)
 		}
 	}
 	var varies []lines.Directive
-	for _, d := range tree { // arms change what the whole file says, wherever that stands
+	for _, d := range tree { // arms come last, as the directives of the whole file apply to arms above them too
 		switch {
 		case d.Name.Text == "arm":
-			b.arm(d)
+			p.parseArm(d)
 		case d.Name.Text == "vary" && grid:
 			varies = append(varies, d)
 		case d.Name.Text == "vary":
-			b.vary(d)
+			p.expandVary(d)
 		}
 	}
 	if len(varies) > 0 {
-		b.grid(varies)
+		p.expandGrid(varies)
 	}
-	if len(b.x.Arms) == 0 {
-		b.add(lines.Word{Text: "as the file says", Line: 1, Column: 1}, b.base)
+	if len(p.x.Arms) == 0 {
+		p.addArm(lines.Word{Text: "as the file says", Line: 1, Column: 1}, p.base)
 	}
-	if err := b.Err(); err != nil {
+	if err := p.Err(); err != nil {
 		return nil, err
 	}
-	return b.x, nil
+	return p.x, nil
 }
 
-type binder struct {
+type fileParser struct {
 	*lines.Parser
-	file   string
-	x      *Experiment
-	base   scale
-	seen   map[string]bool
-	placed []lines.Word // of the base's troubles
+	file         string
+	x            *Experiment
+	base         setup
+	seen         map[string]bool
+	troubleWords []lines.Word // the directives of the base's troubles, for messages
 }
 
-func (b *binder) top(d lines.Directive) {
+func (p *fileParser) parseTopLevel(d lines.Directive) {
 	switch d.Name.Text {
 	case "experiment":
-		if w, ok := b.One(d); ok {
-			b.x.Name = w.Text
+		if w, ok := p.One(d); ok {
+			p.x.Name = w.Text
 		}
 	case "repeats":
-		b.Count(d, &b.x.Repeats, 1, 1000)
+		p.Count(d, &p.x.Repeats, 1, 1000)
 	default:
-		b.line(&b.base, d, b.seen)
+		p.parseDirective(&p.base, d, p.seen)
 	}
 }
 
-// line takes a directive that arms may have too.
-func (b *binder) line(s *scale, d lines.Directive, seen map[string]bool) {
+// parseDirective parses a directive that may be used at the top level and in an arm.
+func (p *fileParser) parseDirective(s *setup, d lines.Directive, seen map[string]bool) {
 	name := d.Name.Text
 	if seen[name] && name != "trouble" && name != "class" {
-		b.Problem(d.Name, "%s was set already", name)
+		p.Problem(d.Name, "%s is already set", name)
 		return
 	}
 	seen[name] = true
-	if at := s.counts()[name]; at != nil {
-		b.Count(d, at, 1, 1_000_000)
+	if field := s.intFields()[name]; field != nil {
+		p.Count(d, field, 1, 1_000_000)
 		return
 	}
-	if at := s.numbers()[name]; at != nil {
-		if b.Number(d, at, 0, 1e7); name == "tail" && *at > 0 && *at <= 1 {
-			b.Problem(d.Name, "tail: an index up to 1 has no mean; write one above 1, or 0 for lognormal work")
+	if field := s.floatFields()[name]; field != nil {
+		if p.Number(d, field, 0, 1e7); name == "tail" && *field > 0 && *field <= 1 {
+			p.Problem(d.Name, "tail: a Pareto index up to 1 has no mean; want one above 1, or 0 for lognormal work")
 		}
 		return
 	}
-	if at := s.times()[name]; at != nil {
-		if w, ok := b.One(d); ok {
-			b.duration(w, at)
+	if field := s.durationFields()[name]; field != nil {
+		if w, ok := p.One(d); ok {
+			p.parseDuration(w, field)
 		}
 		return
 	}
 	switch name {
 	case "halls":
-		if s.halls = nil; len(d.Args) == 0 {
-			b.Problem(d.Name, "halls wants one or more names")
+		if s.zones = nil; len(d.Args) == 0 {
+			p.Problem(d.Name, "halls needs one or more names")
 		}
 		for _, w := range d.Args {
-			if slices.Contains(s.halls, w.Text) {
-				b.Problem(w, "hall %s stands twice", w.Text)
+			if slices.Contains(s.zones, w.Text) {
+				p.Problem(w, "hall %s is listed twice", w.Text)
 			}
-			s.halls = append(s.halls, w.Text)
+			s.zones = append(s.zones, w.Text)
 		}
 	case "gate":
-		if w, ok := b.One(d); ok {
+		if w, ok := p.One(d); ok {
 			if s.gate = w.Text; !slices.Contains([]string{"on", "off", "fixed"}, w.Text) {
-				b.Problem(w, "gate is on, off or fixed")
+				p.Problem(w, "gate must be on, off or fixed")
 			}
 		}
 	case "judge":
-		if w, ok := b.One(d); ok {
-			if s.judge = w.Text == "on"; w.Text != "on" && w.Text != "off" {
-				b.Problem(w, "judge is on or off")
+		if w, ok := p.One(d); ok {
+			if s.checkSessions = w.Text == "on"; w.Text != "on" && w.Text != "off" {
+				p.Problem(w, "judge must be on or off")
 			}
 		}
 	case "trouble":
-		b.trouble(s, d)
+		p.parseTrouble(s, d)
 	case "arrivals":
-		b.arrivals(s, d)
+		p.parseArrivals(s, d)
 	case "class":
-		b.class(s, d)
+		p.parseClass(s, d)
 	default:
 		known := []string{"experiment", "repeats", "arm", "vary", "halls", "gate", "judge", "trouble", "arrivals", "class"}
-		known = slices.AppendSeq(slices.AppendSeq(slices.AppendSeq(known, maps.Keys(s.counts())), maps.Keys(s.numbers())), maps.Keys(s.times()))
+		known = slices.AppendSeq(slices.AppendSeq(slices.AppendSeq(known, maps.Keys(s.intFields())), maps.Keys(s.floatFields())), maps.Keys(s.durationFields()))
 		slices.Sort(known)
-		b.Unknown(d.Name, known)
+		p.Unknown(d.Name, known)
 	}
 }
 
-// arrivals takes the requests of a recording in the place of those that are drawn.
-func (b *binder) arrivals(s *scale, d lines.Directive) {
-	w, ok := b.One(d)
+// parseArrivals loads a recording, whose requests are replayed in place of random arrivals.
+func (p *fileParser) parseArrivals(s *setup, d lines.Directive) {
+	w, ok := p.One(d)
 	if !ok {
 		return
 	}
 	path := w.Text
 	if !filepath.IsAbs(path) {
-		path = filepath.Join(filepath.Dir(b.file), path)
+		path = filepath.Join(filepath.Dir(p.file), path)
 	}
 	r, err := record.Open(path)
 	if err == nil {
-		s.played, err = r.Arrivals("", 0)
+		s.replay, err = r.Arrivals("", 0)
 	}
 	if err != nil {
-		b.Problem(w, "%v", err)
+		p.Problem(w, "%v", err)
 	}
 }
 
-func (b *binder) duration(w lines.Word, at *time.Duration) {
+func (p *fileParser) parseDuration(w lines.Word, field *time.Duration) {
 	v, err := time.ParseDuration(w.Text)
 	if err != nil || v < 0 || v > time.Hour {
-		b.Problem(w, "%q is no time up to 1h; write one like 500ms or 30s", w.Text)
+		p.Problem(w, "%q is not a time from 0s to 1h; want one like 500ms or 30s", w.Text)
 		return
 	}
-	*at = v
+	*field = v
 }
 
-var troubleNames = []string{"at", "for", "size", "slice", "member", "driver", "hall", "all"}
+var troubleDirectives = []string{"at", "for", "size", "slice", "member", "driver", "hall", "all"}
 
-// trouble reads one, as a block.
-func (b *binder) trouble(s *scale, d lines.Directive) {
+// parseTrouble parses a trouble block.
+func (p *fileParser) parseTrouble(s *setup, d lines.Directive) {
 	if len(d.Args) != 1 || !d.Open {
-		b.Problem(d.Name, "trouble wants a kind and a block; kinds: %s", strings.Join(world.TroubleNames(), ", "))
+		p.Problem(d.Name, "trouble needs a kind and a block; kinds: %s", strings.Join(world.TroubleNames(), ", "))
 		return
 	}
 	kind, ok := world.TroubleNamed(d.Args[0].Text)
 	if !ok {
-		b.Problem(d.Args[0], "trouble %q is not known; there are %s", d.Args[0].Text, strings.Join(world.TroubleNames(), ", "))
+		p.Problem(d.Args[0], "unknown trouble %q; kinds: %s", d.Args[0].Text, strings.Join(world.TroubleNames(), ", "))
 		return
 	}
 	t := world.Trouble{Kind: kind, Place: world.Anywhere, For: time.Second}
 	seen := map[string]bool{}
 	for _, line := range d.Block {
-		w, ok := b.One(line)
+		w, ok := p.One(line)
 		if !ok {
 			continue
 		}
 		if seen[line.Name.Text] {
-			b.Problem(line.Name, "%s was set already", line.Name.Text)
+			p.Problem(line.Name, "%s is already set", line.Name.Text)
 		}
 		seen[line.Name.Text] = true
-		b.troubleLine(&t, line.Name, w)
+		p.parseTroubleDirective(&t, line.Name, w)
 	}
 	switch {
 	case !seen["at"]:
-		b.Problem(d.Name, "trouble %s wants a time: at 5s", kind)
+		p.Problem(d.Name, "trouble %s needs a time, as in: at 5s", kind)
 	case kind.Sized() && !seen["size"]:
-		b.Problem(d.Name, "trouble %s wants a size", kind)
+		p.Problem(d.Name, "trouble %s needs a size", kind)
 	case !kind.Sized() && seen["size"]:
-		b.Problem(d.Name, "trouble %s has no size", kind)
+		p.Problem(d.Name, "trouble %s takes no size", kind)
 	}
-	b.placed = append(b.placed, d.Name)
+	p.troubleWords = append(p.troubleWords, d.Name)
 	s.troubles = append(slices.Clone(s.troubles), t)
 }
 
-func (b *binder) troubleLine(t *world.Trouble, name, w lines.Word) {
-	const most = 1 << 20
+func (p *fileParser) parseTroubleDirective(t *world.Trouble, name, w lines.Word) {
+	const maxIndex = 1 << 20
 	switch name.Text {
 	case "at":
-		b.duration(w, &t.At)
+		p.parseDuration(w, &t.At)
 	case "for":
-		b.duration(w, &t.For)
+		p.parseDuration(w, &t.For)
 	case "size":
 		v, err := strconv.ParseFloat(strings.TrimSuffix(w.Text, "%"), 64)
 		if strings.HasSuffix(w.Text, "%") {
 			v /= 100
 		}
 		if t.Size = v; err != nil || !(v > 0 && v <= 1000) || t.Kind == world.TroubleFull && v < 1 || (t.Kind == world.TroubleLost || t.Kind == world.TroubleBad || t.Kind == world.TroubleHot) && v > 1 {
-			b.Problem(w, "size: %q is none; write a multiple like 4, or a share like 10%%", w.Text)
+			p.Problem(w, "size: %q is not valid for this trouble; want a multiple like 4 or a share like 10%%", w.Text)
 		}
 	case "slice":
-		b.Whole(w, "slice", &t.Place.Slice, 0, most)
+		p.Whole(w, "slice", &t.Place.Slice, 0, maxIndex)
 	case "member":
 		if t.Place.Primary = w.Text == "primary"; !t.Place.Primary {
-			b.Whole(w, "member", &t.Place.Member, 0, most)
+			p.Whole(w, "member", &t.Place.Member, 0, maxIndex)
 		}
 	case "driver":
-		b.Whole(w, "driver", &t.Place.Driver, 0, most)
+		p.Whole(w, "driver", &t.Place.Driver, 0, maxIndex)
 	case "hall":
 		t.Place.Hall = w.Text
 	case "all":
 		if t.Place.All = w.Text == "on"; w.Text != "on" && w.Text != "off" {
-			b.Problem(w, "all is on or off")
+			p.Problem(w, "all must be on or off")
 		}
 	default:
-		b.Unknown(name, troubleNames)
+		p.Unknown(name, troubleDirectives)
 	}
 }
 
-// arm is the file's scale with changes of its own.
-func (b *binder) arm(d lines.Directive) {
+// parseArm adds an arm: the parameters of the file with the changes of the block.
+func (p *fileParser) parseArm(d lines.Directive) {
 	if len(d.Args) != 1 || !d.Open {
-		b.Problem(d.Name, "arm wants a name and a block, which may be empty")
+		p.Problem(d.Name, "arm needs a name and a block, which may be empty")
 		return
 	}
-	s, seen := b.base, map[string]bool{}
+	s, seen := p.base, map[string]bool{}
 	for _, line := range d.Block {
-		b.line(&s, line, seen)
+		p.parseDirective(&s, line, seen)
 	}
-	b.add(d.Args[0], s)
+	p.addArm(d.Args[0], s)
 }
 
-// vary makes an arm of each value of a directive.
-func (b *binder) vary(d lines.Directive) {
-	if !b.variesWell(d) {
+// expandVary adds an arm for each value of a directive.
+func (p *fileParser) expandVary(d lines.Directive) {
+	if !p.checkVary(d) {
 		return
 	}
 	for _, w := range d.Args[1:] {
-		s := b.base
-		b.line(&s, lines.Directive{Name: d.Args[0], Args: []lines.Word{w}}, map[string]bool{})
-		b.add(lines.Word{Text: d.Args[0].Text + " " + w.Text, Line: w.Line, Column: w.Column}, s)
+		s := p.base
+		p.parseDirective(&s, lines.Directive{Name: d.Args[0], Args: []lines.Word{w}}, map[string]bool{})
+		p.addArm(lines.Word{Text: d.Args[0].Text + " " + w.Text, Line: w.Line, Column: w.Column}, s)
 	}
 }
 
-func (b *binder) variesWell(d lines.Directive) bool {
+func (p *fileParser) checkVary(d lines.Directive) bool {
 	if len(d.Args) < 2 || d.Open {
-		b.Problem(d.Name, "vary wants a directive and its values, as in: vary drivers 3 10 50")
+		p.Problem(d.Name, "vary needs a directive and its values, as in: vary drivers 3 10 50")
 		return false
 	}
 	return true
 }
 
-// add checks an arm as a whole and takes it.
-func (b *binder) add(name lines.Word, s scale) {
-	for _, a := range b.x.Arms {
+// addArm checks the parameters of an arm against each other and adds the arm.
+func (p *fileParser) addArm(name lines.Word, s setup) {
+	for _, a := range p.x.Arms {
 		if a.Name == name.Text {
-			b.Problem(name, "arm %q stands twice", name.Text)
+			p.Problem(name, "arm %q is defined twice", name.Text)
 		}
 	}
 	sum := 0.0
@@ -357,21 +361,21 @@
 		sum += c.share
 	}
 	if len(s.classes) > 0 && (sum < 0.999 || sum > 1.001) {
-		b.Problem(name, "the classes' shares come to %.1f%%, not to 100%%", 100*sum)
+		p.Problem(name, "the shares of the classes add up to %.1f%%, not 100%%", 100*sum)
 	}
 	for i, t := range s.troubles {
 		w := name
-		if i < len(b.placed) {
-			w = b.placed[i]
+		if i < len(p.troubleWords) {
+			w = p.troubleWords[i]
 		}
 		switch {
-		case t.At >= s.lasts:
-			b.Problem(w, "trouble %s comes at %v, the run ends at %v", t.Kind, t.At, s.lasts)
+		case t.At >= s.length:
+			p.Problem(w, "trouble %s starts at %v, but the run ends at %v", t.Kind, t.At, s.length)
 		case t.Place.Slice >= s.slices || t.Place.Member >= s.members || t.Place.Driver >= s.drivers:
-			b.Problem(w, "trouble %s strikes a slice, member or driver that arm %q does not have", t.Kind, name.Text)
-		case t.Place.Hall != "" && !slices.Contains(s.halls, t.Place.Hall):
-			b.Problem(w, "trouble %s: hall %q is not in halls", t.Kind, t.Place.Hall)
+			p.Problem(w, "trouble %s names a slice, member or driver that arm %q does not have", t.Kind, name.Text)
+		case t.Place.Hall != "" && !slices.Contains(s.zones, t.Place.Hall):
+			p.Problem(w, "trouble %s: hall %q is not listed in halls", t.Kind, t.Place.Hall)
 		}
 	}
-	b.x.Arms = append(b.x.Arms, Arm{name.Text, s.world()})
+	p.x.Arms = append(p.x.Arms, Arm{name.Text, s.config()})
 }
--- a/lab/experiment/hunt.go
+++ b/lab/experiment/hunt.go
@@ -11,22 +11,22 @@
 	"umberladder/lab/world"
 )
 
-// Draft is an experiment with one arm that a hunt makes up and shrinks.
-type Draft struct {
+// Candidate is a random experiment with one arm that a hunt generates and shrinks.
+type Candidate struct {
 	Seed                     uint64
 	Drivers, Slices, Members int
-	Halls                    int
-	Rate                     int
+	Zones                    int
+	Rate                     int // requests per second
 	Length                   time.Duration
-	Gate                     bool
+	Gate                     bool // admission control is on
 	Troubles                 []world.Trouble
 }
 
-// Text is the draft as a file.
-func (d *Draft) Text() string {
+// Text returns the candidate as an experiment file.
+func (d *Candidate) Text() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "experiment \"found by lab hunt, seed %d\"\nrepeats 1\ndrivers %d\nslices %d\nmembers %d\nhalls %s\ncross 3ms\nrate %d\nfor %v\nelect 1s\ntries 3\njudge on\n",
-		d.Seed, d.Drivers, d.Slices, d.Members, strings.Join(hallNames[:d.Halls], " "), d.Rate, d.Length)
+		d.Seed, d.Drivers, d.Slices, d.Members, strings.Join(zoneNames[:d.Zones], " "), d.Rate, d.Length)
 	if !d.Gate {
 		b.WriteString("gate off\n")
 	}
@@ -57,11 +57,12 @@
 	return b.String()
 }
 
-var hallNames = []string{"reykjavik-a", "hafnarfjordur-b"}
+var zoneNames = []string{"reykjavik-a", "hafnarfjordur-b"}
 
-// Draw makes up a draft. Troubles crowd together, as it is their overlap that is looked for.
-func Draw(rng *rand.Rand) *Draft {
-	d := &Draft{Seed: rng.Uint64N(1e6), Drivers: 2 + rng.IntN(7), Slices: 1 + rng.IntN(4), Members: 3 + rng.IntN(4), Halls: 1 + rng.IntN(2),
+// RandomCandidate generates a candidate. Its troubles start in the middle half of the run, as faults are likelier to show
+// where troubles overlap.
+func RandomCandidate(rng *rand.Rand) *Candidate {
+	d := &Candidate{Seed: rng.Uint64N(1e6), Drivers: 2 + rng.IntN(7), Slices: 1 + rng.IntN(4), Members: 3 + rng.IntN(4), Zones: 1 + rng.IntN(2),
 		Rate: 50 + rng.IntN(400), Length: time.Duration(8+rng.IntN(8)) * time.Second, Gate: rng.IntN(4) > 0}
 	middle := d.Length / 2
 	for range 2 + rng.IntN(7) {
@@ -78,20 +79,21 @@
 			t.Place.Member = -1
 		}
 		t.Place.All = rng.IntN(8) == 0
-		t.Place.Driver, t.Place.Hall = rng.IntN(d.Drivers), hallNames[rng.IntN(d.Halls)]
+		t.Place.Driver, t.Place.Hall = rng.IntN(d.Drivers), zoneNames[rng.IntN(d.Zones)]
 		d.Troubles = append(d.Troubles, t)
 	}
 	return d
 }
 
-// Play runs a draft. Change, if it is not nil, is made to the world: tests plant faults so.
-func (d *Draft) Play(ctx context.Context, change func(*world.Config)) (Figures, error) {
+// Run runs the candidate in simulated time. If modify is not nil, it is applied to the configuration first; tests inject
+// faults with it.
+func (d *Candidate) Run(ctx context.Context, modify func(*world.Config)) (Figures, error) {
 	x, err := Parse("draft", d.Text())
 	if err != nil {
 		return Figures{}, err
 	}
-	if change != nil {
-		change(&x.Arms[0].World)
+	if modify != nil {
+		modify(&x.Arms[0].World)
 	}
 	all, err := x.Run(ctx, Options{Seed: d.Seed, Procs: 1})
 	if err != nil {
@@ -100,24 +102,25 @@
 	return all[0].Runs[0], nil
 }
 
-// Find is what a hunt has found.
+// Find is the result of a hunt.
 type Find struct {
 	Runs    int
-	Broken  *Draft // the smallest that breaks a rule, nil if none does
-	Lines   []string
-	Worst   *Draft // the one with the least goodput
-	Goodput float64
-	Served  float64 // mean over all
+	Broken  *Candidate // the smallest candidate that breaks a rule, nil if none does
+	Lines   []string   // the rules that Broken breaks
+	Worst   *Candidate // the candidate with the least goodput
+	Goodput float64    // of Worst
+	Served  float64    // mean fraction of requests served
 }
 
-// Hunt draws drafts and plays them, as many runs as are given, shrinking included. The first that breaks a rule is
-// shrunk and ends it. The same seed finds the same.
-func Hunt(ctx context.Context, seed uint64, runs int, change func(*world.Config), progress func(*Find)) (*Find, error) {
+// Hunt runs random candidates until one breaks a rule, which it then shrinks, or until the number of runs is used up;
+// shrinking counts. The same seed gives the same result. Progress, if not nil, is called after each candidate without a
+// broken rule.
+func Hunt(ctx context.Context, seed uint64, runs int, modify func(*world.Config), progress func(*Find)) (*Find, error) {
 	f := &Find{Goodput: 2}
 	rng := rand.New(rand.NewPCG(seed, 0x68756e74))
 	for f.Runs < runs {
-		d := Draw(rng)
-		fig, err := d.Play(ctx, change)
+		d := RandomCandidate(rng)
+		fig, err := d.Run(ctx, modify)
 		if err != nil {
 			return f, fmt.Errorf("%w, in\n%s", err, d.Text())
 		}
@@ -128,7 +131,7 @@
 		}
 		if len(fig.Broken) > 0 {
 			f.Broken, f.Lines = d, fig.Broken
-			return f, f.shrink(ctx, runs, change)
+			return f, f.shrink(ctx, runs, modify)
 		}
 		if progress != nil {
 			progress(f)
@@ -137,21 +140,21 @@
 	return f, nil
 }
 
-// shrink makes the draft that breaks a rule smaller as long as it still breaks one.
-func (f *Find) shrink(ctx context.Context, runs int, change func(*world.Config)) error {
-	for again := true; again; {
-		again = false
+// shrink replaces f.Broken by smaller candidates as long as one of them breaks a rule.
+func (f *Find) shrink(ctx context.Context, runs int, modify func(*world.Config)) error {
+	for shrunk := true; shrunk; {
+		shrunk = false
 		for _, smaller := range f.Broken.smaller() {
 			if f.Runs >= runs {
 				return nil
 			}
-			fig, err := smaller.Play(ctx, change)
+			fig, err := smaller.Run(ctx, modify)
 			if err != nil {
-				continue // a trouble's place is not there any more
+				continue // the smaller candidate lacks the place of a trouble
 			}
 			f.Runs++
 			if len(fig.Broken) > 0 {
-				f.Broken, f.Lines, again = smaller, fig.Broken, true
+				f.Broken, f.Lines, shrunk = smaller, fig.Broken, true
 				break
 			}
 		}
@@ -159,33 +162,33 @@
 	return nil
 }
 
-// smaller are the drafts that are one step smaller, the largest steps first.
-func (d *Draft) smaller() (all []*Draft) {
-	add := func(change func(*Draft)) {
+// smaller returns the candidates that are one step smaller: troubles removed first, then numbers reduced, then times.
+func (d *Candidate) smaller() (all []*Candidate) {
+	add := func(modify func(*Candidate)) {
 		c := *d
 		c.Troubles = slices.Clone(d.Troubles)
-		change(&c)
+		modify(&c)
 		all = append(all, &c)
 	}
 	for i := range d.Troubles {
-		add(func(c *Draft) { c.Troubles = slices.Delete(c.Troubles, i, i+1) })
+		add(func(c *Candidate) { c.Troubles = slices.Delete(c.Troubles, i, i+1) })
 	}
-	for _, part := range []struct {
-		of    func(*Draft) *int
-		least int
-	}{{func(c *Draft) *int { return &c.Drivers }, 1}, {func(c *Draft) *int { return &c.Slices }, 1}, {func(c *Draft) *int { return &c.Members }, 2},
-		{func(c *Draft) *int { return &c.Rate }, 10}, {func(c *Draft) *int { return &c.Halls }, 1}} {
-		if v := *part.of(d); v > part.least {
-			add(func(c *Draft) { *part.of(c) = max(part.least, v/2) })
-			add(func(c *Draft) { *part.of(c) = v - 1 })
+	for _, param := range []struct {
+		field  func(*Candidate) *int
+		lowest int
+	}{{func(c *Candidate) *int { return &c.Drivers }, 1}, {func(c *Candidate) *int { return &c.Slices }, 1}, {func(c *Candidate) *int { return &c.Members }, 2},
+		{func(c *Candidate) *int { return &c.Rate }, 10}, {func(c *Candidate) *int { return &c.Zones }, 1}} {
+		if v := *param.field(d); v > param.lowest {
+			add(func(c *Candidate) { *param.field(c) = max(param.lowest, v/2) })
+			add(func(c *Candidate) { *param.field(c) = v - 1 })
 		}
 	}
 	if d.Length > 3*time.Second {
-		add(func(c *Draft) { c.Length -= time.Second })
+		add(func(c *Candidate) { c.Length -= time.Second })
 	}
 	for i, t := range d.Troubles {
 		if t.For > 100*time.Millisecond {
-			add(func(c *Draft) { c.Troubles[i].For = (t.For / 2).Round(10 * time.Millisecond) })
+			add(func(c *Candidate) { c.Troubles[i].For = (t.For / 2).Round(10 * time.Millisecond) })
 		}
 	}
 	return all
--- a/lab/experiment/hunt_test.go
+++ b/lab/experiment/hunt_test.go
@@ -8,28 +8,29 @@
 	"umberladder/lab/world"
 )
 
-// TestHunt: sessions that keep older tokens than they should are found by drawn experiments, and what is left in the
-// end is small, is a file that can be read, and breaks the same rule by itself. Without the fault nothing is found.
+// TestHunt checks that random candidates find an injected fault (sessions that keep tokens older than the ones they got),
+// that the shrunk candidate breaks the same rule when it is run again and no smaller one does, and that nothing is found
+// without the fault.
 func TestHunt(t *testing.T) {
 	ctx := context.Background()
-	plant := func(c *world.Config) { c.Keep, c.Late, c.Sessions, c.Visits, c.Keys = world.KeepLower, true, 3, 1, 2 }
-	f, err := Hunt(ctx, 5, 250, plant, nil)
+	fault := func(c *world.Config) { c.Keep, c.Late, c.Sessions, c.Visits, c.Keys = world.KeepLower, true, 3, 1, 2 }
+	f, err := Hunt(ctx, 5, 250, fault, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if f.Broken == nil {
-		t.Fatalf("nothing was found in %d runs", f.Runs)
+		t.Fatalf("no broken rule found in %d runs", f.Runs)
 	}
-	again, err := f.Broken.Play(ctx, plant)
+	again, err := f.Broken.Run(ctx, fault)
 	if err != nil || len(again.Broken) == 0 || again.Broken[0] != f.Lines[0] {
-		t.Errorf("played again it breaks %v (%v), %v before", again.Broken, err, f.Lines)
+		t.Errorf("run again, it breaks %v (%v); before: %v", again.Broken, err, f.Lines)
 	}
 	if f.Runs == 250 {
-		t.Fatal("it was not shrunk to the end")
+		t.Fatal("the runs were used up before shrinking ended")
 	}
 	for _, d := range f.Broken.smaller() {
-		if smaller, err := d.Play(ctx, plant); err == nil && len(smaller.Broken) > 0 {
-			t.Errorf("this is smaller and breaks a rule too:\n%s", d.Text())
+		if smaller, err := d.Run(ctx, fault); err == nil && len(smaller.Broken) > 0 {
+			t.Errorf("a smaller candidate breaks a rule too:\n%s", d.Text())
 		}
 	}
 	clean, err := Hunt(ctx, 5, 8, nil, nil)
@@ -38,11 +39,11 @@
 	}
 }
 
-// TestDraftsAreFiles: every draft is a file that reads back as the same world.
-func TestDraftsAreFiles(t *testing.T) {
+// TestCandidatesParse checks that the text of every candidate parses to the same configuration.
+func TestCandidatesParse(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 1))
 	for range 200 {
-		d := Draw(rng)
+		d := RandomCandidate(rng)
 		x, err := Parse("f", d.Text())
 		if err != nil {
 			t.Fatalf("%v\n%s", err, d.Text())
@@ -53,7 +54,7 @@
 		}
 		for i, a := range w.Troubles {
 			if b := d.Troubles[i]; a.Kind != b.Kind || a.At != b.At || a.For != b.For || a.Size != b.Size || a.Place != b.Place {
-				t.Fatalf("trouble %+v was %+v", a, b)
+				t.Fatalf("trouble %+v, want %+v", a, b)
 			}
 		}
 	}
--- a/lab/experiment/keep.go
+++ b/lab/experiment/recorder.go
@@ -6,7 +6,7 @@
 	"umberladder/lab/record"
 )
 
-// Recorder has the runs of an experiment recorded, each row by its arm and repeat.
+// Recorder returns a function for Options.Record that adds the rows of each run to w, with the arm and repeat filled in.
 func Recorder(w *record.Writer) func(arm string, repeat int) func(*record.Row) {
 	return func(arm string, repeat int) func(*record.Row) {
 		return func(r *record.Row) {
@@ -17,25 +17,25 @@
 	}
 }
 
-// About is what a recording says of the experiment.
+// About returns the manifest of a recording of the experiment.
 func (x *Experiment) About(o Options) record.About {
-	about := record.About{Name: x.Name, Text: x.Text, Seed: o.Seed, Live: o.Player.Name != "" && o.Player.Name != Simulated.Name}
+	manifest := record.About{Name: x.Name, Text: x.Text, Seed: o.Seed, Live: o.Player.Name != "" && o.Player.Name != Simulated.Name}
 	for i := range x.Arms {
 		for _, t := range x.Arms[i].World.Troubles {
-			about.Troubles = append(about.Troubles, record.Span{Arm: x.Arms[i].Name, Kind: t.Kind.String(), From: t.At.Nanoseconds(), To: (t.At + t.For).Nanoseconds()})
+			manifest.Troubles = append(manifest.Troubles, record.Span{Arm: x.Arms[i].Name, Kind: t.Kind.String(), From: t.At.Nanoseconds(), To: (t.At + t.For).Nanoseconds()})
 		}
 	}
-	return about
+	return manifest
 }
 
-// Runs are the figures of all runs, as a recording keeps them.
+// Runs returns the figures of all runs for the manifest of a recording. NaNs are left out, as JSON has none.
 func Runs(all []Outcome) (runs []record.Run) {
 	for i := range all {
 		for n := range all[i].Runs {
 			f := &all[i].Runs[n]
 			run := record.Run{Arm: all[i].Arm, Repeat: n, Figures: map[string]float64{}, Broken: f.Broken}
-			for _, c := range beside {
-				if v := c.of(f); !math.IsNaN(v) {
+			for _, c := range comparedColumns {
+				if v := c.value(f); !math.IsNaN(v) {
 					run.Figures[c.name] = v
 				}
 			}
--- a/lab/experiment/run.go
+++ b/lab/experiment/run.go
@@ -19,54 +19,55 @@
 	"umberladder/lab/world"
 )
 
-// Figures is what one run came to.
+// Figures are the measurements of one run.
 type Figures struct {
-	Goodput  float64 // worth earned in time, as part of what was asked for
-	Served   float64 // share of requests, likewise the next three
+	Goodput  float64 // value earned, as a fraction of the value requested by first tries
+	Served   float64 // fraction of requests, as are Refused and Failed
 	Refused  float64
 	Failed   float64
-	Primary  float64 // share of reads that the primary served
-	P99      float64 // of the class that is served slowest, s
-	All99    float64 // of all that was served, s
-	P50      float64 // likewise
-	Polls    float64 // that a node sees, a second
-	Noticed  float64 // after a promotion until the last driver knew of it, s; NaN without one
-	Recovery float64 // after the last trouble's end until nine tenths is earned for a second, s; NaN if never
+	Primary  float64 // fraction of reads that the primary served
+	P99      float64 // 99th percentile of latency of the slowest class, s
+	All99    float64 // 99th percentile of latency of all served requests, s
+	P50      float64 // median latency of all served requests, s
+	Polls    float64 // polls per node and second
+	Noticed  float64 // longest time until a driver observed a promotion, s; NaN if there was none
+	Recovery float64 // from the end of the last trouble until 90% of the value is earned for a second, s; NaN if never
 	Requests int
-	Struck   int
-	Causes   map[string]int // of refusals and failures, by class
-	Broken   []string
-	Digest   uint64
-	Took     time.Duration // of this machine
+	Struck   int            // troubles that took effect
+	Causes   map[string]int // counts of refusals and failures by class and cause
+	Broken   []string       // one line for each broken rule
+	Digest   uint64         // hash of all answers; equal for equal simulated runs
+	Took     time.Duration  // wall-clock time of the run
 }
 
-// Outcome is all runs of an arm, by repeat.
+// Outcome is the figures of all runs of an arm, indexed by repeat.
 type Outcome struct {
 	Arm  string
 	Runs []Figures
 }
 
-// Player plays a world.
+// Player runs a configuration, in simulated time or live.
 type Player struct {
-	Name string // simulated or live
-	Play func(world.Config) (*world.Result, error)
-	Over time.Duration // how long a run goes on after its clients
+	Name      string // simulated or live
+	Play      func(world.Config) (*world.Result, error)
+	ExtraTime time.Duration // how long a run continues after its clients stop
 }
 
-// Simulated plays worlds in simulated time.
-var Simulated = Player{Name: "simulated", Play: world.Run, Over: 10 * time.Second}
+// Simulated runs configurations in simulated time. Equal seeds give equal figures.
+var Simulated = Player{Name: "simulated", Play: world.Run, ExtraTime: 10 * time.Second}
 
-// Options are how an experiment is run.
+// Options control the runs of an experiment.
 type Options struct {
 	Seed     uint64
-	Procs    int    // runs at once; the figures of simulated ones are the same whatever it is
-	Player   Player // Simulated if it has no name
-	Plant    world.Plant
-	Record   func(arm string, repeat int) func(*record.Row) // nil for none
-	Progress func(arm string, repeat int)                   // likewise
+	Procs    int                                            // runs in parallel, at least 1; figures of simulated runs do not depend on it
+	Player   Player                                         // Simulated if it has no name
+	Plant    world.Plant                                    // a fault injected on purpose
+	Record   func(arm string, repeat int) func(*record.Row) // returns the sink for the rows of a run; nil: rows are not recorded
+	Progress func(arm string, repeat int)                   // called after each run; may be nil
 }
 
-// Run plays every arm for every repeat. Seeds count from the one given.
+// Run runs every repeat of every arm. Repeat n, from 0, has the seed Options.Seed + n. It returns the first error of a run,
+// or that of ctx, once the runs in progress have ended.
 func (x *Experiment) Run(ctx context.Context, o Options) ([]Outcome, error) {
 	if o.Player.Name == "" {
 		o.Player = Simulated
@@ -81,7 +82,7 @@
 				if ctx.Err() != nil {
 					return ctx.Err()
 				}
-				f, err := x.one(i, n, o)
+				f, err := x.runOnce(i, n, o)
 				all[i].Runs[n] = f
 				return err
 			})
@@ -90,8 +91,8 @@
 	return all, g.Wait()
 }
 
-// one plays one repeat of one arm.
-func (x *Experiment) one(arm, repeat int, o Options) (Figures, error) {
+// runOnce runs one repeat of one arm.
+func (x *Experiment) runOnce(arm, repeat int, o Options) (Figures, error) {
 	a := &x.Arms[arm]
 	cfg := a.World
 	cfg.Seed, cfg.Plant = o.Seed+uint64(repeat), o.Plant
@@ -106,7 +107,7 @@
 	if err != nil {
 		return Figures{}, fmt.Errorf("arm %s, seed %d: %w", a.Name, cfg.Seed, err)
 	}
-	f := figures(&cfg, r, o.Player.Over)
+	f := computeFigures(&cfg, r, o.Player.ExtraTime)
 	f.Took = time.Since(begin)
 	if o.Progress != nil {
 		o.Progress(a.Name, repeat)
@@ -114,31 +115,31 @@
 	return f, nil
 }
 
-func figures(cfg *world.Config, r *world.Result, over time.Duration) Figures {
+func computeFigures(cfg *world.Config, r *world.Result, extra time.Duration) Figures {
 	n := float64(max(1, r.Requests))
 	f := Figures{Requests: r.Requests, Struck: r.Struck, Broken: r.Broken, Causes: r.Causes, Digest: r.Digest, Served: float64(r.Served) / n,
-		Refused: float64(r.Refused+r.Turned) / n, Failed: float64(r.Failed+r.Orphaned) / n, Noticed: math.NaN(), Recovery: recovery(cfg, r)}
+		Refused: float64(r.Refused+r.Turned) / n, Failed: float64(r.Failed+r.Orphaned) / n, Noticed: math.NaN(), Recovery: recoveryTime(cfg, r)}
 	f.Goodput = total(r.Worth) / max(1, total(r.Asked))
-	reads, whole := 0, hdrhistogram.New(1, 600_000_000, 3)
+	reads, all := 0, hdrhistogram.New(1, 600_000_000, 3)
 	for name, h := range r.Took {
-		whole.Merge(h)
+		all.Merge(h)
 		f.P99 = max(f.P99, float64(h.ValueAtQuantile(99))/1e6)
 		if name != "write" {
 			reads += int(h.TotalCount())
 		}
 	}
-	f.All99, f.P50 = float64(whole.ValueAtQuantile(99))/1e6, float64(whole.ValueAtQuantile(50))/1e6
+	f.All99, f.P50 = float64(all.ValueAtQuantile(99))/1e6, float64(all.ValueAtQuantile(50))/1e6
 	f.Primary = float64(r.AtPrimary) / float64(max(1, reads))
-	f.Polls = float64(r.Polls) / float64(cfg.Slices*cfg.Members) / (cfg.Length + over).Seconds()
+	f.Polls = float64(r.Polls) / float64(cfg.Slices*cfg.Members) / (cfg.Length + extra).Seconds()
 	for _, d := range r.Noticed {
-		f.Noticed = max(d.Seconds(), nanTo(f.Noticed, 0))
+		f.Noticed = max(d.Seconds(), valueOr(f.Noticed, 0))
 	}
 	return f
 }
 
-func nanTo(v, or float64) float64 {
+func valueOr(v, fallback float64) float64 {
 	if math.IsNaN(v) {
-		return or
+		return fallback
 	}
 	return v
 }
@@ -150,8 +151,9 @@
 	return n
 }
 
-// recovery is how long after its last trouble a run earns nine tenths of what is asked for, for a second at least.
-func recovery(cfg *world.Config, r *world.Result) float64 {
+// recoveryTime returns the seconds from the end of the last trouble to the start of the first second in which 90% of the
+// value requested is earned. It is NaN if there is no such second or no trouble.
+func recoveryTime(cfg *world.Config, r *world.Result) float64 {
 	last := time.Duration(0)
 	for _, t := range cfg.Troubles {
 		last = max(last, t.At+t.For)
@@ -159,21 +161,21 @@
 	if len(cfg.Troubles) == 0 || last >= cfg.Length {
 		return math.NaN()
 	}
-	const span = int(time.Second / world.Window)
-	for i := int(last / world.Window); i+span <= int(cfg.Length/world.Window) && i+span <= len(r.Worth); i++ {
-		if total(r.Worth[i:i+span]) >= 0.9*total(r.Asked[i:i+span]) {
+	const windowsPerSecond = int(time.Second / world.Window)
+	for i := int(last / world.Window); i+windowsPerSecond <= int(cfg.Length/world.Window) && i+windowsPerSecond <= len(r.Worth); i++ {
+		if total(r.Worth[i:i+windowsPerSecond]) >= 0.9*total(r.Asked[i:i+windowsPerSecond]) {
 			return (time.Duration(i)*world.Window - last).Seconds()
 		}
 	}
 	return math.NaN()
 }
 
-// column is one figure of the report.
+// column is a figure in the table of arms.
 type column struct {
-	name string
-	of   func(*Figures) float64
-	form string
-	up   bool // more is better
+	name           string
+	value          func(*Figures) float64
+	format         string
+	higherIsBetter bool
 }
 
 var columns = []column{
@@ -188,10 +190,10 @@
 	{"recovery s", func(f *Figures) float64 { return f.Recovery }, "%.2f", false},
 }
 
-// values are a figure of all repeats, those without it left out.
+// values returns a figure of each repeat, without NaNs.
 func (o *Outcome) values(c column) (vs []float64) {
 	for i := range o.Runs {
-		if v := c.of(&o.Runs[i]); !math.IsNaN(v) {
+		if v := c.value(&o.Runs[i]); !math.IsNaN(v) {
 			vs = append(vs, v)
 		}
 	}
@@ -205,11 +207,11 @@
 	return total(vs) / float64(len(vs))
 }
 
-// resamples is how many the bootstrap draws.
+// resamples is the number of bootstrap samples.
 const resamples = 2000
 
-// Interval is between which values the mean lies, in 95 of 100 cases, by a bootstrap over the repeats. Its seed is fixed:
-// the same figures give the same interval.
+// Interval returns the bounds of the 95% confidence interval of the mean of vs, by a bootstrap. Its seed is fixed: the same
+// values give the same interval. Both bounds are NaN for fewer than two values.
 func Interval(vs []float64) (low, high float64) {
 	if len(vs) < 2 {
 		return math.NaN(), math.NaN()
@@ -225,16 +227,18 @@
 	return means[resamples/40], means[resamples-resamples/40]
 }
 
-// gains are by how much an arm's goodput exceeds another's, seed by seed.
-func gains(o, than *Outcome) (vs []float64) {
+// goodputGains returns the difference of the goodputs of two arms for each repeat, as repeats of the same number have the
+// same seed.
+func goodputGains(o, base *Outcome) (vs []float64) {
 	for i := range o.Runs {
-		vs = append(vs, o.Runs[i].Goodput-than.Runs[i].Goodput)
+		vs = append(vs, o.Runs[i].Goodput-base.Runs[i].Goodput)
 	}
 	return vs
 }
 
-// Broken is how many rules were broken in all, runs that show nothing included.
-func Broken(all []Outcome, x *Experiment) (n int, lines []string) {
+// BrokenRules returns the number of broken rules in all runs, and up to three lines about those of each run. A run that
+// served nothing, or in which a trouble did not take effect, proves nothing and counts as one more broken rule.
+func BrokenRules(all []Outcome, x *Experiment) (n int, lines []string) {
 	for i := range all {
 		for s, f := range all[i].Runs {
 			n += len(f.Broken)
@@ -250,7 +254,7 @@
 	return n, lines
 }
 
-// writeCauses tells why requests were not served, the most frequent first.
+// writeCauses writes the three most frequent causes of requests that were not served.
 func (o *Outcome) writeCauses(out io.Writer) {
 	sum, n := map[string]int{}, 0
 	for _, f := range o.Runs {
@@ -265,7 +269,8 @@
 	}
 }
 
-// Write tells arms side by side, and in one line whether any differs from the first.
+// Write writes the means of each arm as a table, the comparison of each arm with the first, the most frequent causes of
+// requests not served and the broken rules. It returns the number of broken rules.
 func (x *Experiment) Write(out io.Writer, p Player, all []Outcome) (broken int) {
 	fmt.Fprintf(out, "%s, %s: means of %d repeats, figures are %s\n", x.Name, p.Name, x.Repeats, map[bool]string{true: "the model's", false: "of stand-ins on this machine"}[p.Name == Simulated.Name])
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
@@ -281,7 +286,7 @@
 			if vs := o.values(c); len(vs) == 0 {
 				fmt.Fprint(w, "-\t")
 			} else {
-				fmt.Fprintf(w, c.form+"\t", mean(vs))
+				fmt.Fprintf(w, c.format+"\t", mean(vs))
 			}
 		}
 		requests, took := 0, time.Duration(0)
@@ -292,7 +297,7 @@
 	}
 	w.Flush()
 	for i := range all[1:] {
-		vs := gains(&all[i+1], &all[0])
+		vs := goodputGains(&all[i+1], &all[0])
 		low, high := Interval(vs)
 		verdict := "no difference is shown"
 		switch {
@@ -306,7 +311,7 @@
 	for i := range all {
 		all[i].writeCauses(out)
 	}
-	broken, lines := Broken(all, x)
+	broken, lines := BrokenRules(all, x)
 	for _, line := range lines {
 		fmt.Fprintln(out, "  "+line)
 	}
--- a/lab/experiment/sweep.go
+++ b/lab/experiment/sweep.go
@@ -16,7 +16,7 @@
 	"umberladder/internal/lines"
 )
 
-// ReadGrid reads an experiment whose vary lines are taken together: an arm for each combination of their values.
+// ReadGrid reads an experiment file like Read, but makes one arm for each combination of the values of all vary lines.
 func ReadGrid(path string) (*Experiment, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -25,25 +25,25 @@
 	return parseAs(path, string(text), true)
 }
 
-// mostArms is how many combinations a grid may have.
-const mostArms = 10_000
+// maxArms limits the combinations of a grid.
+const maxArms = 10_000
 
-// grid makes an arm of each combination of the values of several directives.
-func (b *binder) grid(varies []lines.Directive) {
+// expandGrid adds an arm for each combination of the values of several directives.
+func (p *fileParser) expandGrid(varies []lines.Directive) {
 	type arm struct {
 		name string
-		s    scale
+		s    setup
 	}
-	arms := []arm{{"", b.base}}
+	arms := []arm{{"", p.base}}
 	for _, d := range varies {
-		if !b.variesWell(d) {
+		if !p.checkVary(d) {
 			return
 		}
 		var next []arm
 		for _, a := range arms {
 			for _, w := range d.Args[1:] {
 				s := a.s
-				b.line(&s, lines.Directive{Name: d.Args[0], Args: []lines.Word{w}}, map[string]bool{})
+				p.parseDirective(&s, lines.Directive{Name: d.Args[0], Args: []lines.Word{w}}, map[string]bool{})
 				name := d.Args[0].Text + " " + w.Text
 				if a.name != "" {
 					name = a.name + ", " + name
@@ -51,51 +51,52 @@
 				next = append(next, arm{name, s})
 			}
 		}
-		if arms = next; len(arms) > mostArms {
-			b.Problem(d.Name, "the grid has %d combinations by here; %d are the most", len(arms), mostArms)
+		if arms = next; len(arms) > maxArms {
+			p.Problem(d.Name, "the grid has %d combinations up to this line; at most %d are allowed", len(arms), maxArms)
 			return
 		}
 	}
 	for _, a := range arms {
-		b.add(lines.Word{Text: a.name, Line: varies[0].Name.Line, Column: varies[0].Name.Column}, a.s)
+		p.addArm(lines.Word{Text: a.name, Line: varies[0].Name.Line, Column: varies[0].Name.Column}, a.s)
 	}
 }
 
-// sweep is one under way: what it came to is kept, run by run, so that one that was killed goes on where it was.
+// sweep is a sweep in progress. Each run is appended to the file as it ends, so that a killed sweep can be resumed.
 type sweep struct {
 	x    *Experiment
 	o    Options
 	mu   sync.Mutex
 	file *os.File
-	done map[[2]int]Figures // by arm and repeat
+	done map[[2]int]Figures // by index of arm and repeat
 }
 
-// header is what the file of a sweep begins with: what it is of.
+// header is the first item of a sweep file. A sweep is resumed only if all of it matches.
 type header struct {
 	Text    string
 	Seed    uint64
 	Repeats int
 }
 
-// entry is one run.
+// entry is one run in a sweep file.
 type entry struct {
 	Arm, Repeat int
 	Figures     Figures
 }
 
-// Sweep plays all arms and repeats but those that the file in the directory holds already, and adds to it. It gives how
-// many it held. A last entry that was cut is played again.
-func (x *Experiment) Sweep(ctx context.Context, dir string, o Options) (all []Outcome, held int, err error) {
+// Sweep runs all arms and repeats except those that the sweep file in dir already holds, and appends each to the file. It
+// returns the outcomes of the runs that are done, and resumed, the number of runs that the file held before. A truncated
+// last entry is run again.
+func (x *Experiment) Sweep(ctx context.Context, dir string, o Options) (all []Outcome, resumed int, err error) {
 	s := &sweep{x: x, o: o, done: map[[2]int]Figures{}}
 	if err := s.open(filepath.Join(dir, "sweep.cbor")); err != nil {
 		return nil, 0, fmt.Errorf("sweep: %w", err)
 	}
 	defer s.file.Close()
-	held = len(s.done)
+	resumed = len(s.done)
 	g, ctx := errgroup.WithContext(ctx)
 	g.SetLimit(max(1, o.Procs))
-	for _, run := range s.missing() { // listed before any begins, as they write what is done
-		g.Go(func() error { return s.play(ctx, run[0], run[1]) })
+	for _, run := range s.missing() { // listed before the first run starts, as runs write s.done
+		g.Go(func() error { return s.run(ctx, run[0], run[1]) })
 	}
 	err = g.Wait()
 	for i := range x.Arms {
@@ -107,11 +108,11 @@
 		}
 		all = append(all, out)
 	}
-	return all, held, err
+	return all, resumed, err
 }
 
-// missing lists the runs that are not done, by arm and repeat: the first repeat of each arm first, so that a sweep that is
-// cut short has something of each.
+// missing returns the index of arm and repeat of each run that is not done. The first repeats of all arms come first, so
+// that an interrupted sweep has runs of every arm.
 func (s *sweep) missing() (runs [][2]int) {
 	for n := range s.x.Repeats {
 		for i := range s.x.Arms {
@@ -123,7 +124,7 @@
 	return runs
 }
 
-// open reads what there is, and leaves the file ready for more.
+// open opens or creates the sweep file, loads its runs and truncates it after the last valid entry.
 func (s *sweep) open(path string) error {
 	if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
 		return err
@@ -136,26 +137,26 @@
 	h, want := header{}, header{s.x.Text, s.o.Seed, s.x.Repeats}
 	d := cbor.NewDecoder(f)
 	switch err := d.Decode(&h); {
-	case errors.Is(err, io.EOF): // it is new
-		return s.add(&want)
+	case errors.Is(err, io.EOF): // new file
+		return s.write(&want)
 	case err != nil:
-		return fmt.Errorf("%s is none of a sweep, or was cut before its first run: %w; remove it or name another directory", path, err)
+		return fmt.Errorf("%s is not a sweep file, or was truncated before its first run: %w; remove it or choose another directory", path, err)
 	case h != want:
-		return fmt.Errorf("%s is of another experiment, seed or number of repeats; name another directory", path)
+		return fmt.Errorf("%s belongs to another experiment, seed or number of repeats; choose another directory", path)
 	}
-	whole := int64(d.NumBytesRead())
+	validEnd := int64(d.NumBytesRead())
 	for {
 		var e entry
 		if err := d.Decode(&e); err != nil || e.Arm >= len(s.x.Arms) || e.Repeat >= s.x.Repeats {
-			return s.cut(whole)
+			return s.truncate(validEnd)
 		}
 		s.done[[2]int{e.Arm, e.Repeat}] = e.Figures
-		whole = int64(d.NumBytesRead())
+		validEnd = int64(d.NumBytesRead())
 	}
 }
 
-// cut drops what stands behind the last whole entry.
-func (s *sweep) cut(at int64) error {
+// truncate drops everything after offset at.
+func (s *sweep) truncate(at int64) error {
 	if err := s.file.Truncate(at); err != nil {
 		return err
 	}
@@ -163,7 +164,7 @@
 	return err
 }
 
-func (s *sweep) add(v any) error {
+func (s *sweep) write(v any) error {
 	text, err := cbor.Marshal(v)
 	if err != nil {
 		return err
@@ -172,21 +173,21 @@
 	return err
 }
 
-func (s *sweep) play(ctx context.Context, arm, repeat int) error {
+func (s *sweep) run(ctx context.Context, arm, repeat int) error {
 	if ctx.Err() != nil {
 		return ctx.Err()
 	}
-	f, err := s.x.one(arm, repeat, s.o)
+	f, err := s.x.runOnce(arm, repeat, s.o)
 	if err != nil {
 		return err
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.done[[2]int{arm, repeat}] = f
-	return s.add(&entry{arm, repeat, f})
+	return s.write(&entry{arm, repeat, f})
 }
 
-// Best are the arms by goodput, the best first.
+// Best returns the outcomes in descending order of mean goodput.
 func Best(all []Outcome) []Outcome {
 	sorted := slices.Clone(all)
 	goodput := func(o *Outcome) float64 { return mean(o.values(columns[0])) }
