--- a/lab/record/arrivals.go
+++ b/lab/record/arrivals.go
@@ -6,16 +6,16 @@
 	"time"
 )
 
-// Arrival is a request that came, to be sent again as load.
+// Arrival is a recorded request that is replayed as load.
 type Arrival struct {
-	At      time.Duration // since the run began
+	At      time.Duration // since the start of the run
 	Class   string
 	Slice   string
 	Session string
 }
 
-// Arrivals are the requests of one run of a recording in order, further tries of clients included. An empty arm is the
-// first that is there.
+// Arrivals returns the requests of one run in the order of their times, clients' further tries included. An empty arm means
+// the arm of the first row. It is an error if the run has no request.
 func (r *Recording) Arrivals(arm string, repeat int) ([]Arrival, error) {
 	var all []Arrival
 	err := r.Each(func(row *Row) error {
--- a/lab/record/query.go
+++ b/lab/record/query.go
@@ -14,23 +14,23 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Query is a question: which rows, and by what they are told apart.
+// Query selects rows and groups them by fields.
 type Query struct {
-	Kind   string // KindRequest or KindAttempt; requests if empty
+	Kind   string // KindRequest (the default) or KindAttempt
 	By     []string
 	Where  []Condition
-	Window time.Duration // of By "window"; a second if 0
-	Limit  int           // lines at the most, those with the most rows; 0 for all
+	Window time.Duration // length of the windows of By "window"; 1 s if 0
+	Limit  int           // keep only this many groups, those with the most rows; 0 for all
 }
 
-// Condition holds for rows whose field is, or is not, one of some values.
+// Condition matches rows whose field is (or with Not, is not) one of Values.
 type Condition struct {
 	Field  string
 	Not    bool
 	Values []string
 }
 
-// fields are what rows are told apart by and chosen by.
+// fields are the columns that rows can be grouped and filtered by.
 var fields = map[string]func(*Row) string{
 	"arm":     func(r *Row) string { return r.Arm },
 	"repeat":  func(r *Row) string { return strconv.Itoa(int(r.Repeat)) },
@@ -49,10 +49,10 @@
 	"attempt": func(r *Row) string { return strconv.Itoa(int(r.Attempt)) },
 }
 
-// Fields are the names of what rows are told apart by, "window" among them.
-func Fields() []string { return slices.Sorted(maps.Keys(withWindow())) }
+// Fields returns the names that rows can be grouped by, in order: the fields of a condition and "window".
+func Fields() []string { return slices.Sorted(maps.Keys(groupFields())) }
 
-func withWindow() map[string]bool {
+func groupFields() map[string]bool {
 	all := map[string]bool{"window": true}
 	for name := range fields {
 		all[name] = true
@@ -60,39 +60,42 @@
 	return all
 }
 
-// ParseCondition reads one like class=write,post or outcome!=served.
+// ParseCondition parses a condition like class=write,post or outcome!=served.
 func ParseCondition(text string) (Condition, error) {
 	field, values, ok := strings.Cut(text, "=")
 	c := Condition{Field: strings.TrimSuffix(field, "!"), Not: strings.HasSuffix(field, "!"), Values: strings.Split(values, ",")}
 	if !ok || fields[c.Field] == nil {
-		return c, fmt.Errorf("condition %q: write FIELD=VALUE,… or FIELD!=VALUE,… with one of %s", text, strings.Join(slices.Sorted(maps.Keys(fields)), ", "))
+		return c, fmt.Errorf("condition %q: want FIELD=VALUE,… or FIELD!=VALUE,… with one of the fields %s", text, strings.Join(slices.Sorted(maps.Keys(fields)), ", "))
 	}
 	return c, nil
 }
 
-func (c *Condition) holds(r *Row) bool { return slices.Contains(c.Values, fields[c.Field](r)) != c.Not }
+func (c *Condition) matches(r *Row) bool {
+	return slices.Contains(c.Values, fields[c.Field](r)) != c.Not
+}
 
-// Line is what some rows came to.
-type Line struct {
+// Summary is the totals of one group of rows.
+type Summary struct {
 	By                      []string
 	Rows                    int
 	Served, Refused, Failed int
 	Broken                  int
-	Worth                   float64
-	Took                    *hdrhistogram.Histogram // of what was served, in microseconds
+	Value                   float64
+	Took                    *hdrhistogram.Histogram // latency of served rows, in microseconds
 }
 
-// Ask answers a question, a line for each combination that is there: in order of By, or with a limit those with most rows.
-func (r *Recording) Ask(q Query) ([]*Line, error) {
+// Ask runs a query and returns a summary for each group that has rows: ordered by group, or by number of rows if the limit
+// left groups out.
+func (r *Recording) Ask(q Query) ([]*Summary, error) {
 	for _, by := range q.By {
-		if !withWindow()[by] {
-			return nil, fmt.Errorf("query: rows are not told apart by %q; there are %s", by, strings.Join(Fields(), ", "))
+		if !groupFields()[by] {
+			return nil, fmt.Errorf("query: cannot group rows by %q; fields are %s", by, strings.Join(Fields(), ", "))
 		}
 	}
 	kind, window := cmp.Or(q.Kind, KindRequest), cmp.Or(q.Window, time.Second)
-	lines := map[string]*Line{}
+	groups := map[string]*Summary{}
 	err := r.Each(func(row *Row) error {
-		if row.Kind != kind || slices.ContainsFunc(q.Where, func(c Condition) bool { return !c.holds(row) }) {
+		if row.Kind != kind || slices.ContainsFunc(q.Where, func(c Condition) bool { return !c.matches(row) }) {
 			return nil
 		}
 		key := make([]string, len(q.By))
@@ -103,27 +106,27 @@
 				key[i] = fields[by](row)
 			}
 		}
-		id := strings.Join(key, "\x00")
-		if lines[id] == nil {
-			lines[id] = &Line{By: key, Took: hdrhistogram.New(1, 600_000_000, 3)}
+		group := strings.Join(key, "\x00")
+		if groups[group] == nil {
+			groups[group] = &Summary{By: key, Took: hdrhistogram.New(1, 600_000_000, 3)}
 		}
-		lines[id].add(row)
+		groups[group].add(row)
 		return nil
 	})
 	if err != nil {
 		return nil, err
 	}
-	all := slices.SortedFunc(maps.Values(lines), func(a, b *Line) int { return slices.Compare(a.By, b.By) })
+	all := slices.SortedFunc(maps.Values(groups), func(a, b *Summary) int { return slices.Compare(a.By, b.By) })
 	if q.Limit > 0 && len(all) > q.Limit {
-		slices.SortStableFunc(all, func(a, b *Line) int { return b.Rows - a.Rows })
+		slices.SortStableFunc(all, func(a, b *Summary) int { return b.Rows - a.Rows })
 		all = all[:q.Limit]
 	}
 	return all, nil
 }
 
-func (l *Line) add(r *Row) {
+func (l *Summary) add(r *Row) {
 	l.Rows++
-	l.Worth += r.Worth
+	l.Value += r.Worth
 	if r.Broken != "" {
 		l.Broken++
 	}
@@ -138,19 +141,19 @@
 	}
 }
 
-// WriteLines writes them as a table.
-func WriteLines(out io.Writer, q Query, lines []*Line) {
+// WriteLines writes summaries as a table.
+func WriteLines(out io.Writer, q Query, groups []*Summary) {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	for _, by := range q.By {
 		fmt.Fprintf(w, "%s\t", by)
 	}
 	fmt.Fprintln(w, "rows\tserved\trefused\tother\tworth\tp50\tp99\tmax\tbroken\t")
-	for _, l := range lines {
+	for _, l := range groups {
 		for _, by := range l.By {
 			fmt.Fprintf(w, "%s\t", cmp.Or(by, "-"))
 		}
 		n := float64(l.Rows)
-		fmt.Fprintf(w, "%d\t%.1f%%\t%.1f%%\t%.1f%%\t%.0f\t", l.Rows, 100*float64(l.Served)/n, 100*float64(l.Refused)/n, 100*float64(l.Failed)/n, l.Worth)
+		fmt.Fprintf(w, "%d\t%.1f%%\t%.1f%%\t%.1f%%\t%.0f\t", l.Rows, 100*float64(l.Served)/n, 100*float64(l.Refused)/n, 100*float64(l.Failed)/n, l.Value)
 		for _, micros := range []int64{l.Took.ValueAtQuantile(50), l.Took.ValueAtQuantile(99), l.Took.Max()} {
 			if l.Served == 0 {
 				fmt.Fprint(w, "-\t")
--- a/lab/record/read.go
+++ b/lab/record/read.go
@@ -13,31 +13,31 @@
 	"github.com/parquet-go/parquet-go"
 )
 
-const aboutName = "about.json"
+const manifestName = "about.json"
 
-// Recording is one that is read.
+// Recording is a recording opened for reading.
 type Recording struct {
-	About About
+	About Manifest
 	dir   string
 	parts []string
-	Cut   bool // a part was not whole: the run was killed, or is under way
+	Cut   bool // a part is incomplete: the run is in progress or was killed
 }
 
-// Open opens the recording in a directory.
+// Open opens the recording in dir. Rows are read later, by Each.
 func Open(dir string) (*Recording, error) {
 	r := &Recording{dir: dir}
-	text, err := os.ReadFile(filepath.Join(dir, aboutName))
+	text, err := os.ReadFile(filepath.Join(dir, manifestName))
 	if err != nil {
-		return nil, fmt.Errorf("recording: %s holds none: %w", dir, err)
+		return nil, fmt.Errorf("recording: directory %s holds no recording: %w", dir, err)
 	}
 	if err := json.Unmarshal(text, &r.About); err != nil {
-		return nil, fmt.Errorf("recording: %s: %w", filepath.Join(dir, aboutName), err)
+		return nil, fmt.Errorf("recording: %s: %w", filepath.Join(dir, manifestName), err)
 	}
-	there, err := os.ReadDir(dir)
+	entries, err := os.ReadDir(dir)
 	if err != nil {
 		return nil, fmt.Errorf("recording: %w", err)
 	}
-	for _, e := range there {
+	for _, e := range entries {
 		switch name := e.Name(); {
 		case strings.HasSuffix(name, ".parquet"):
 			r.parts = append(r.parts, filepath.Join(dir, name))
@@ -49,17 +49,18 @@
 	return r, nil
 }
 
-// Each hands over every row in the order in which they were added, a part at a time in memory.
-func (r *Recording) Each(do func(*Row) error) error {
+// Each calls fn with every row in the order of adding, and stops at the first error. The row is only valid during the
+// call; memory holds a batch of rows at a time.
+func (r *Recording) Each(fn func(*Row) error) error {
 	for _, name := range r.parts {
-		if err := eachOf(name, do); err != nil {
+		if err := eachRow(name, fn); err != nil {
 			return fmt.Errorf("recording: %s: %w", name, err)
 		}
 	}
 	return nil
 }
 
-func eachOf(name string, do func(*Row) error) error {
+func eachRow(name string, fn func(*Row) error) error {
 	f, err := os.Open(name)
 	if err != nil {
 		return err
@@ -69,17 +70,17 @@
 	if err != nil {
 		return err
 	}
-	whole, err := parquet.OpenFile(f, info.Size())
+	pf, err := parquet.OpenFile(f, info.Size())
 	if err != nil {
 		return err
 	}
-	rows := parquet.NewGenericReader[Row](whole)
-	defer rows.Close()
-	some := make([]Row, batch)
+	reader := parquet.NewGenericReader[Row](pf)
+	defer reader.Close()
+	buf := make([]Row, batchRows)
 	for {
-		n, err := rows.Read(some)
-		for i := range some[:n] {
-			if err := do(&some[i]); err != nil {
+		n, err := reader.Read(buf)
+		for i := range buf[:n] {
+			if err := fn(&buf[i]); err != nil {
 				return err
 			}
 		}
--- a/lab/record/record_test.go
+++ b/lab/record/record_test.go
@@ -15,25 +15,25 @@
 		Sent: int64(i) * int64(time.Millisecond), Ended: int64(i+5) * int64(time.Millisecond), Outcome: []string{"served", "served", "refused", "failed"}[i%4], Worth: 1}
 }
 
-// TestRowsComeBack: what several goroutines add is read again, whole and in each one's order.
-func TestRowsComeBack(t *testing.T) {
+// TestConcurrentWrites checks that rows added by several goroutines are read back unchanged, in the order of each goroutine.
+func TestConcurrentWrites(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "r")
-	w, err := Create(dir, About{Name: "n", Seed: 7, Text: "rate 1"})
+	w, err := Create(dir, Manifest{Name: "n", Seed: 7, Text: "rate 1"})
 	if err != nil {
 		t.Fatal(err)
 	}
-	const each, writers = 30_000, 4
-	var all sync.WaitGroup
+	const perWriter, writers = 30_000, 4
+	var writing sync.WaitGroup
 	for n := range writers {
-		all.Go(func() {
-			for i := range each {
+		writing.Go(func() {
+			for i := range perWriter {
 				r := row(i)
 				r.Repeat = int32(n)
 				w.Add(r)
 			}
 		})
 	}
-	all.Wait()
+	writing.Wait()
 	if err := w.Close([]Run{{Arm: "a", Figures: map[string]float64{"goodput": 0.5}}}); err != nil {
 		t.Fatal(err)
 	}
@@ -58,23 +58,24 @@
 		t.Fatal(err)
 	}
 	for n, rows := range next {
-		if rows != each {
-			t.Errorf("writer %d: %d rows of %d", n, rows, each)
+		if rows != perWriter {
+			t.Errorf("writer %d: %d rows of %d", n, rows, perWriter)
 		}
 	}
-	if w.Rows() != each*writers {
+	if w.Rows() != perWriter*writers {
 		t.Errorf("%d rows were added", w.Rows())
 	}
 }
 
-// TestKilledInTheMiddle: without its end, a recording is read up to its last whole part, and says so.
-func TestKilledInTheMiddle(t *testing.T) {
+// TestIncompleteRecording checks that a recording that was never closed is readable up to its last complete part and
+// marked as incomplete.
+func TestIncompleteRecording(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "r")
-	w, err := Create(dir, About{Name: "n"})
+	w, err := Create(dir, Manifest{Name: "n"})
 	if err != nil {
 		t.Fatal(err)
 	}
-	for i := range partRows + 3*batch { // and never Close
+	for i := range partRows + 3*batchRows { // Close is never called
 		w.Add(row(i))
 	}
 	r, err := Open(dir)
@@ -82,18 +83,18 @@
 		t.Fatal(err)
 	}
 	n := 0
-	if err := r.Each(func(*Row) error { n++; return nil }); err != nil || n < partRows || n >= partRows+3*batch || !r.Cut || !r.About.Ended.IsZero() {
+	if err := r.Each(func(*Row) error { n++; return nil }); err != nil || n < partRows || n >= partRows+3*batchRows || !r.Cut || !r.About.Ended.IsZero() {
 		t.Errorf("%d rows, cut %v, %v", n, r.Cut, err)
 	}
 }
 
-// TestErrorsNameTheFile: a directory that holds something else, one that holds nothing, a part that is no Parquet.
+// TestErrorsNameTheFile checks the errors for a directory without a recording, one that is not empty, and a truncated part.
 func TestErrorsNameTheFile(t *testing.T) {
 	dir := t.TempDir()
 	if _, err := Open(dir); err == nil || !strings.Contains(err.Error(), dir) {
 		t.Error(err)
 	}
-	w, err := Create(filepath.Join(dir, "r"), About{})
+	w, err := Create(filepath.Join(dir, "r"), Manifest{})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -101,7 +102,7 @@
 	if err := w.Close(nil); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := Create(filepath.Join(dir, "r"), About{}); err == nil || !strings.Contains(err.Error(), "not empty") {
+	if _, err := Create(filepath.Join(dir, "r"), Manifest{}); err == nil || !strings.Contains(err.Error(), "not empty") {
 		t.Error(err)
 	}
 	part := filepath.Join(dir, "r", "rows-000001.parquet")
@@ -114,17 +115,17 @@
 		t.Fatal(err)
 	}
 	if err := r.Each(func(*Row) error { return nil }); err == nil || !strings.Contains(err.Error(), part) {
-		t.Errorf("half a file: %v", err)
+		t.Errorf("truncated part: %v", err)
 	}
 	if _, err := r.Arrivals("b", 0); err == nil {
-		t.Error("arrivals of half a file")
+		t.Error("arrivals of a truncated part: no error")
 	}
 }
 
-// TestAsk: counts by class, of rows chosen, and mistakes in questions.
-func TestAsk(t *testing.T) {
+// TestQuery checks the counts of filtered rows by class and window, the limit, and errors in queries.
+func TestQuery(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "r")
-	w, _ := Create(dir, About{})
+	w, _ := Create(dir, Manifest{})
 	for i := range 4000 {
 		w.Add(row(i))
 	}
@@ -140,19 +141,19 @@
 		t.Fatal(err)
 	}
 	q := Query{By: []string{"class", "window"}, Where: []Condition{c}, Window: 2 * time.Second}
-	lines, err := r.Ask(q)
-	if err != nil || len(lines) != 4 {
-		t.Fatalf("%d lines, %v", len(lines), err)
+	groups, err := r.Ask(q)
+	if err != nil || len(groups) != 4 {
+		t.Fatalf("%d groups, %v", len(groups), err)
 	}
-	if l := lines[0]; l.By[0] != "read" || l.Rows != 667 || l.Served+l.Refused != l.Rows || l.Failed != 0 || l.Took.Max() < 4900 || l.Took.Max() > 5100 {
+	if l := groups[0]; l.By[0] != "read" || l.Rows != 667 || l.Served+l.Refused != l.Rows || l.Failed != 0 || l.Took.Max() < 4900 || l.Took.Max() > 5100 {
 		t.Errorf("%+v", l)
 	}
 	var out strings.Builder
-	if WriteLines(&out, q, lines); !strings.Contains(out.String(), "667") {
+	if WriteLines(&out, q, groups); !strings.Contains(out.String(), "667") {
 		t.Error(out.String())
 	}
-	if one, _ := r.Ask(Query{By: []string{"request"}, Limit: 3}); len(one) != 3 {
-		t.Errorf("%d lines where three are wanted", len(one))
+	if limited, _ := r.Ask(Query{By: []string{"request"}, Limit: 3}); len(limited) != 3 {
+		t.Errorf("%d groups, want 3", len(limited))
 	}
 	if _, err := r.Ask(Query{By: []string{"nod"}}); err == nil || !strings.Contains(err.Error(), "node") {
 		t.Error(err)
@@ -162,8 +163,8 @@
 			t.Errorf("%q: %v", wrong, err)
 		}
 	}
-	came, err := r.Arrivals("", 0)
-	if err != nil || len(came) != 4000 || came[3].At != 3*time.Millisecond || came[3].Class != "write" {
-		t.Errorf("%d arrivals, %v", len(came), err)
+	arrivals, err := r.Arrivals("", 0)
+	if err != nil || len(arrivals) != 4000 || arrivals[3].At != 3*time.Millisecond || arrivals[3].Class != "write" {
+		t.Errorf("%d arrivals, %v", len(arrivals), err)
 	}
 }
--- a/lab/record/row.go
+++ b/lab/record/row.go
@@ -1,51 +1,54 @@
-// Package record keeps what happened in a run, request by request and attempt by attempt, as rows of Parquet in a
-// directory of its own: parts that are each whole once they have their name, so that a run that was killed leaves all
-// but its last seconds readable, and memory stays bounded however long it lasts. Beside them stands what was run.
+// Package record stores the requests, attempts and node starts of a run, which lab/world (simulated) and lab (live) add
+// as rows to a Writer. The output is a directory of Parquet files and about.json, which describes the run; a Parquet file
+// gets its final name only when it is complete, so a killed run loses no more than its last seconds, and memory stays
+// bounded however long a run is. The commands lab run, lab query and lab report call it, and lab/experiment replays the
+// requests of a recording as load.
 package record
 
 import "time"
 
-// Row is one request, or one attempt of it at a node. Times are in nanoseconds since the run began.
+// Row is one request, one attempt of a request at a node, or one start of a node. Times are in nanoseconds since the
+// start of the run.
 type Row struct {
 	Arm     string  `parquet:"arm,dict"`
 	Repeat  int32   `parquet:"repeat"`
-	Kind    string  `parquet:"kind,dict"` // KindRequest or KindAttempt
-	Request string  `parquet:"request"`   // the same in all rows of a request
-	Try     int32   `parquet:"try"`       // of its client, 0 for the first
-	Attempt int32   `parquet:"attempt"`   // of attempts, from 1; of requests how many there were
+	Kind    string  `parquet:"kind,dict"` // KindRequest, KindAttempt or KindStart
+	Request string  `parquet:"request"`   // ID of the request, the same in the rows of its attempts
+	Try     int32   `parquet:"try"`       // the client's try at this request; 0 for the first
+	Attempt int32   `parquet:"attempt"`   // number of the attempt, from 1; for requests, how many attempts were made
 	Class   string  `parquet:"class,dict"`
 	Slice   string  `parquet:"slice,dict"`
 	Session string  `parquet:"session,dict"`
 	Driver  string  `parquet:"driver,dict"`
-	Node    string  `parquet:"node,dict"` // of requests the one that served
+	Node    string  `parquet:"node,dict"` // for requests, the node that served it
 	Hall    string  `parquet:"hall,dict"` // of the node
-	Role    string  `parquet:"role,dict"` // of the node: primary, replica, or nothing if it was never told
+	Role    string  `parquet:"role,dict"` // of the node: primary, replica, or empty if not reported
 	Sent    int64   `parquet:"sent,delta"`
-	Ended   int64   `parquet:"ended,delta"` // Never while no end was seen
+	Ended   int64   `parquet:"ended,delta"` // Never if no end was observed
 	Outcome string  `parquet:"outcome,dict"`
-	Cause   string  `parquet:"cause,dict"` // of what was not served
-	Worth   float64 `parquet:"worth"`      // earned; of requests
-	Asked   float64 `parquet:"asked"`      // worth that a first try asked for
-	// Positions are 0 where nobody told one.
+	Cause   string  `parquet:"cause,dict"` // why the request was not served
+	Worth   float64 `parquet:"worth"`      // value earned; requests only
+	Asked   float64 `parquet:"asked"`      // value requested: that of the class on the first try, 0 on further tries
+	// Log positions are 0 where none was reported.
 	Timeline     int32  `parquet:"timeline"`
 	LSN          int64  `parquet:"lsn"`
 	NeedTimeline int32  `parquet:"need_timeline"` // of the session's token
 	NeedLSN      int64  `parquet:"need_lsn"`
-	Trouble      string `parquet:"trouble,dict"` // what struck while it was under way, by kind, with a plus between them
-	Broken       string `parquet:"broken,dict"`  // the rule that it broke, for requests that did
+	Trouble      string `parquet:"trouble,dict"` // kinds of trouble active during the request, joined by "+"
+	Broken       string `parquet:"broken,dict"`  // rule that the request broke, empty if none
 }
 
-// The kinds of row.
+// Kinds of rows.
 const (
 	KindRequest = "request"
 	KindAttempt = "attempt"
-	KindStart   = "start" // a node began anew, cold, at Sent
+	KindStart   = "start" // a node restarted with cold caches at Sent
 )
 
-// Never is the end of what had none.
+// Never is the Ended of a row without an observed end.
 const Never = int64(-1)
 
-// Took is from sending to end, 0 for what never ended.
+// Took returns the time from Sent to Ended, or 0 if Ended is Never.
 func (r *Row) Took() time.Duration {
 	if r.Ended == Never {
 		return 0
--- a/lab/record/write.go
+++ b/lab/record/write.go
@@ -14,46 +14,46 @@
 	"github.com/parquet-go/parquet-go/compress/zstd"
 )
 
-// partRows is how many rows a part holds; partAge is how long one is written to at the most before it is closed, so that
-// no more is lost than that if the process is killed.
+// The open part is closed by the first write that finds it with partRows rows or older than partAge, so a killed process
+// loses about partAge of rows at most.
 const (
-	partRows = 50_000
-	partAge  = 5 * time.Second
-	batch    = 512 // rows that are handed on together
+	partRows  = 50_000
+	partAge   = 5 * time.Second
+	batchRows = 512 // rows written to a part at once
 )
 
-// About tells what a recording is of.
-type About struct {
-	Name     string    `json:"name"`
-	Text     string    `json:"text"` // of the experiment file
-	Seed     uint64    `json:"seed"`
-	Live     bool      `json:"live"` // else simulated
-	Began    time.Time `json:"began"`
-	Ended    time.Time `json:"ended,omitzero"` // zero if it was killed or is under way
-	Version  string    `json:"version"`        // of this program, with the commit where it is known
-	Go       string    `json:"go"`
-	Runs     []Run     `json:"runs,omitempty"`
-	Troubles []Span    `json:"troubles,omitempty"`
-}
-
-// Run is one run of a recording, with its figures by name.
+// Manifest describes the run of a recording; it is the content of about.json.
+type Manifest struct {
+	Name     string        `json:"name"`
+	Text     string        `json:"text"` // the experiment file
+	Seed     uint64        `json:"seed"`
+	Live     bool          `json:"live"` // false: simulated
+	Began    time.Time     `json:"began"`
+	Ended    time.Time     `json:"ended,omitzero"` // zero if the run is in progress or was killed
+	Version  string        `json:"version"`        // of this program, with the commit if known
+	Go       string        `json:"go"`
+	Runs     []Run         `json:"runs,omitempty"`
+	Troubles []TroubleSpan `json:"troubles,omitempty"`
+}
+
+// Run is the result of one repeat of one arm, with its figures by name.
 type Run struct {
 	Arm     string             `json:"arm"`
 	Repeat  int                `json:"repeat"`
 	Figures map[string]float64 `json:"figures"`
-	Broken  []string           `json:"broken,omitempty"` // rules, a line each
+	Broken  []string           `json:"broken,omitempty"` // one line for each broken rule
 }
 
-// Span is when a trouble was there, in ns since the run began.
-type Span struct {
+// TroubleSpan is the time during which a trouble was active, in ns since the start of the run.
+type TroubleSpan struct {
 	Arm  string `json:"arm"`
 	Kind string `json:"kind"`
 	From int64  `json:"from"`
 	To   int64  `json:"to"`
 }
 
-// version is what the build knows of itself.
-func version() (program, goes string) {
+// buildVersion returns the versions of this program and of Go from the build information.
+func buildVersion() (program, goVersion string) {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
 		return "unknown", "unknown"
@@ -67,52 +67,52 @@
 	return program, info.GoVersion
 }
 
-// Writer adds rows to a recording. It may be used by several goroutines at once.
+// Writer adds rows to a recording. It is safe for concurrent use.
 type Writer struct {
-	dir   string
-	about About
+	dir      string
+	manifest Manifest
 
-	mu    sync.Mutex
-	rows  []Row // not handed on yet
-	part  *part
-	parts int
-	err   error // the first; nothing is written after it
-	total int
+	mu      sync.Mutex
+	buffer  []Row // rows not yet written to a part
+	part    *part
+	parts   int
+	err     error // the first error; no rows are written after it
+	written int
 }
 
-// part is a file under way, by a name that readers pass over.
+// part is a Parquet file being written, under a .tmp name that readers skip.
 type part struct {
-	file  *os.File
-	w     *parquet.GenericWriter[Row]
-	rows  int
-	since time.Time
-	name  string
+	file   *os.File
+	w      *parquet.GenericWriter[Row]
+	rows   int
+	opened time.Time
+	name   string
 }
 
-// Create begins a recording in a directory, which must be new or empty.
-func Create(dir string, about About) (*Writer, error) {
-	if there, err := os.ReadDir(dir); err == nil && len(there) > 0 {
-		return nil, fmt.Errorf("recording: %s is not empty; name another directory, or remove it", dir)
+// Create starts a recording in dir, which must be new or empty, and writes its manifest.
+func Create(dir string, manifest Manifest) (*Writer, error) {
+	if entries, err := os.ReadDir(dir); err == nil && len(entries) > 0 {
+		return nil, fmt.Errorf("recording: directory %s is not empty; choose another one or remove it", dir)
 	}
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return nil, fmt.Errorf("recording: %w", err)
 	}
-	about.Version, about.Go = version()
-	about.Began = time.Now()
-	w := &Writer{dir: dir, about: about}
-	return w, w.writeAbout()
+	manifest.Version, manifest.Go = buildVersion()
+	manifest.Began = time.Now()
+	w := &Writer{dir: dir, manifest: manifest}
+	return w, w.writeManifest()
 }
 
-func (w *Writer) writeAbout() error {
-	text, err := json.MarshalIndent(&w.about, "", "  ")
+func (w *Writer) writeManifest() error {
+	text, err := json.MarshalIndent(&w.manifest, "", "  ")
 	if err != nil {
 		return fmt.Errorf("recording: %w", err)
 	}
-	return replace(filepath.Join(w.dir, aboutName), append(text, '\n'))
+	return replaceFile(filepath.Join(w.dir, manifestName), append(text, '\n'))
 }
 
-// replace puts a whole file in the place of another.
-func replace(path string, text []byte) error {
+// replaceFile writes a file atomically, through a .tmp file that is renamed.
+func replaceFile(path string, text []byte) error {
 	if err := os.WriteFile(path+".tmp", text, 0o644); err != nil {
 		return fmt.Errorf("recording: %w", err)
 	}
@@ -122,28 +122,28 @@
 	return nil
 }
 
-// Add takes a row. What goes wrong is told by Close.
+// Add adds a row. Write errors are returned by Close.
 func (w *Writer) Add(r Row) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.rows = append(w.rows, r)
-	if len(w.rows) >= batch {
-		w.hand()
+	w.buffer = append(w.buffer, r)
+	if len(w.buffer) >= batchRows {
+		w.flush()
 	}
 }
 
-// hand gives rows to the part under way, and closes it when it is full or old.
-func (w *Writer) hand() {
-	if w.err == nil && len(w.rows) > 0 {
-		w.err = w.put(w.rows)
+// flush writes the buffered rows to the open part, unless an earlier write failed.
+func (w *Writer) flush() {
+	if w.err == nil && len(w.buffer) > 0 {
+		w.err = w.writeRows(w.buffer)
 	}
-	clear(w.rows)
-	w.rows = w.rows[:0]
+	clear(w.buffer)
+	w.buffer = w.buffer[:0]
 }
 
-func (w *Writer) put(rows []Row) error {
+func (w *Writer) writeRows(rows []Row) error {
 	if w.part == nil {
-		if err := w.open(); err != nil {
+		if err := w.openPart(); err != nil {
 			return err
 		}
 	}
@@ -152,26 +152,26 @@
 		return fmt.Errorf("recording: %s: %w", p.name, err)
 	}
 	p.rows += len(rows)
-	w.total += len(rows)
-	if p.rows >= partRows || time.Since(p.since) >= partAge {
-		return w.seal()
+	w.written += len(rows)
+	if p.rows >= partRows || time.Since(p.opened) >= partAge {
+		return w.closePart()
 	}
 	return nil
 }
 
-func (w *Writer) open() error {
+func (w *Writer) openPart() error {
 	w.parts++
 	name := filepath.Join(w.dir, fmt.Sprintf("rows-%06d.parquet", w.parts))
 	f, err := os.Create(name + ".tmp")
 	if err != nil {
 		return fmt.Errorf("recording: %w", err)
 	}
-	w.part = &part{file: f, name: name, since: time.Now(), w: parquet.NewGenericWriter[Row](f, parquet.Compression(&zstd.Codec{}))}
+	w.part = &part{file: f, name: name, opened: time.Now(), w: parquet.NewGenericWriter[Row](f, parquet.Compression(&zstd.Codec{}))}
 	return nil
 }
 
-// seal ends a part: from then on it has its name and is whole.
-func (w *Writer) seal() error {
+// closePart completes the open part and gives it its final name.
+func (w *Writer) closePart() error {
 	p := w.part
 	w.part = nil
 	if err := errors.Join(p.w.Close(), p.file.Close()); err != nil {
@@ -183,26 +183,27 @@
 	return nil
 }
 
-// Close ends the recording with the figures of its runs, and tells the first thing that went wrong.
+// Close writes the buffered rows and adds the end time and the figures of the runs to the manifest. It returns the first
+// error since Create.
 func (w *Writer) Close(runs []Run) error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.hand()
+	w.flush()
 	if w.part != nil {
-		if err := w.seal(); w.err == nil {
+		if err := w.closePart(); w.err == nil {
 			w.err = err
 		}
 	}
-	w.about.Ended, w.about.Runs = time.Now(), runs
-	if err := w.writeAbout(); w.err == nil {
+	w.manifest.Ended, w.manifest.Runs = time.Now(), runs
+	if err := w.writeManifest(); w.err == nil {
 		w.err = err
 	}
 	return w.err
 }
 
-// Rows is how many were handed on.
+// Rows returns the number of rows added, without those that a write error lost.
 func (w *Writer) Rows() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.total + len(w.rows)
+	return w.written + len(w.buffer)
 }
--- a/lab/report/plots.go
+++ b/lab/report/plots.go
@@ -110,7 +110,7 @@
 
 // troubles marks when they were there, the same ones of several arms once.
 func troubles(p *plot.Plot, r *record.Recording, top float64) error {
-	seen := map[record.Span]bool{}
+	seen := map[record.TroubleSpan]bool{}
 	for _, t := range r.About.Troubles {
 		t.Arm = ""
 		if seen[t] {
