--- a/lab/report/plots.go
+++ b/lab/report/plots.go
@@ -14,46 +14,46 @@
 	"gonum.org/v1/plot"
 	"gonum.org/v1/plot/plotter"
 	"gonum.org/v1/plot/vg"
-	_ "gonum.org/v1/plot/vg/vgsvg" // the format of all pictures
+	_ "gonum.org/v1/plot/vg/vgsvg" // the format of all plots
 
 	"umberladder/lab/record"
 )
 
-// colours of lines, told apart by people who don't see all colours too.
-var colours = []color.Color{color.RGBA{0, 114, 178, 255}, color.RGBA{213, 94, 0, 255}, color.RGBA{0, 158, 115, 255}, color.RGBA{204, 121, 167, 255},
+// lineColors are the Okabe-Ito colors, distinguishable with color blindness too, and two more.
+var lineColors = []color.Color{color.RGBA{0, 114, 178, 255}, color.RGBA{213, 94, 0, 255}, color.RGBA{0, 158, 115, 255}, color.RGBA{204, 121, 167, 255},
 	color.RGBA{86, 180, 233, 255}, color.RGBA{230, 159, 0, 255}, color.RGBA{90, 90, 90, 255}, color.RGBA{150, 120, 0, 255}}
 
 var (
-	grey  = color.RGBA{225, 225, 225, 255}
-	amber = color.NRGBA{255, 190, 60, 60}
+	gridColor    = color.RGBA{225, 225, 225, 255}
+	troubleColor = color.NRGBA{255, 190, 60, 60}
 )
 
 const (
-	wide = 19 * vg.Centimeter
-	high = 6.5 * vg.Centimeter
+	plotWidth  = 19 * vg.Centimeter
+	plotHeight = 6.5 * vg.Centimeter
 )
 
-func plots(r *record.Recording, arms []*arm, figures map[string]map[string][]float64) ([]Plot, error) {
+func buildPlots(r *record.Recording, arms []*armStats, figures map[string]map[string][]float64) ([]Plot, error) {
 	var all []Plot
 	for _, make := range []func() (Plot, *plot.Plot, error){
-		func() (Plot, *plot.Plot, error) { return goodput(r, arms) },
-		func() (Plot, *plot.Plot, error) { return latency(r, arms) },
-		func() (Plot, *plot.Plot, error) { return cold(arms) },
-		func() (Plot, *plot.Plot, error) { return growth(arms, figures) },
+		func() (Plot, *plot.Plot, error) { return goodputPlot(r, arms) },
+		func() (Plot, *plot.Plot, error) { return latencyPlot(r, arms) },
+		func() (Plot, *plot.Plot, error) { return coldPlot(arms) },
+		func() (Plot, *plot.Plot, error) { return growthPlot(arms, figures) },
 	} {
-		p, drawn, err := make()
-		if err == nil && drawn != nil {
-			all, err = appendPlot(all, p, drawn)
+		p, drawing, err := make()
+		if err == nil && drawing != nil {
+			all, err = appendPlot(all, p, drawing)
 		}
 		if err != nil {
 			return nil, fmt.Errorf("report: %s: %w", p.Title, err)
 		}
 	}
-	for _, a := range arms[:min(4, len(arms))] { // more are hard to compare by eye
-		for _, make := range []func() (Plot, *plot.Plot, error){a.distribution, a.loads} {
-			p, drawn, err := make()
-			if err == nil && drawn != nil {
-				all, err = appendPlot(all, p, drawn)
+	for _, a := range arms[:min(4, len(arms))] { // more plots are hard to compare by eye
+		for _, make := range []func() (Plot, *plot.Plot, error){a.latencyByClassPlot, a.loadPlot} {
+			p, drawing, err := make()
+			if err == nil && drawing != nil {
+				all, err = appendPlot(all, p, drawing)
 			}
 			if err != nil {
 				return nil, fmt.Errorf("report: %s: %w", p.Title, err)
@@ -63,8 +63,8 @@
 	return all, nil
 }
 
-func appendPlot(all []Plot, p Plot, drawn *plot.Plot) ([]Plot, error) {
-	w, err := drawn.WriterTo(wide, high, "svg")
+func appendPlot(all []Plot, p Plot, drawing *plot.Plot) ([]Plot, error) {
+	w, err := drawing.WriterTo(plotWidth, plotHeight, "svg")
 	if err != nil {
 		return nil, err
 	}
@@ -74,24 +74,24 @@
 	}
 	svg := b.String()
 	if i := strings.Index(svg, "<svg"); i > 0 {
-		svg = svg[i:] // its declaration stands only at the head of a file
+		svg = svg[i:] // an XML declaration is not allowed inside HTML
 	}
 	p.SVG = template.HTML(svg)
 	return append(all, p), nil
 }
 
-func blank(x, y string) *plot.Plot {
+func newPlot(x, y string) *plot.Plot {
 	p := plot.New()
 	p.X.Label.Text, p.Y.Label.Text = x, y
 	p.Legend.Top = true
 	p.Legend.Padding = vg.Points(2)
 	grid := plotter.NewGrid()
-	grid.Vertical.Color, grid.Horizontal.Color = grey, grey
+	grid.Vertical.Color, grid.Horizontal.Color = gridColor, gridColor
 	p.Add(grid)
 	return p
 }
 
-func line(p *plot.Plot, name string, i int, points plotter.XYs) error {
+func addLine(p *plot.Plot, name string, i int, points plotter.XYs) error {
 	if len(points) == 0 {
 		return nil
 	}
@@ -99,8 +99,8 @@
 	if err != nil {
 		return err
 	}
-	l.Color, l.Width = colours[i%len(colours)], vg.Points(1.5)
-	if i >= len(colours) {
+	l.Color, l.Width = lineColors[i%len(lineColors)], vg.Points(1.5)
+	if i >= len(lineColors) {
 		l.Dashes = []vg.Length{vg.Points(4), vg.Points(3)}
 	}
 	p.Add(l)
@@ -108,8 +108,8 @@
 	return nil
 }
 
-// troubles marks when they were there, the same ones of several arms once.
-func troubles(p *plot.Plot, r *record.Recording, top float64) error {
+// markTroubles shades the time of each trouble, once if several arms have it.
+func markTroubles(p *plot.Plot, r *record.Recording, yMax float64) error {
 	seen := map[record.TroubleSpan]bool{}
 	for _, t := range r.About.Troubles {
 		t.Arm = ""
@@ -118,13 +118,13 @@
 		}
 		seen[t] = true
 		from, to := time.Duration(t.From).Seconds(), time.Duration(t.To).Seconds()
-		box, err := plotter.NewPolygon(plotter.XYs{{X: from, Y: 0}, {X: to, Y: 0}, {X: to, Y: top}, {X: from, Y: top}})
+		box, err := plotter.NewPolygon(plotter.XYs{{X: from, Y: 0}, {X: to, Y: 0}, {X: to, Y: yMax}, {X: from, Y: yMax}})
 		if err != nil {
 			return err
 		}
-		box.Color, box.LineStyle.Width = amber, 0
+		box.Color, box.LineStyle.Width = troubleColor, 0
 		p.Add(box)
-		label, err := plotter.NewLabels(plotter.XYLabels{XYs: plotter.XYs{{X: from, Y: top * (0.05 + 0.06*float64(len(seen)%5))}}, Labels: []string{t.Kind}})
+		label, err := plotter.NewLabels(plotter.XYLabels{XYs: plotter.XYs{{X: from, Y: yMax * (0.05 + 0.06*float64(len(seen)%5))}}, Labels: []string{t.Kind}})
 		if err != nil {
 			return err
 		}
@@ -133,172 +133,174 @@
 	return nil
 }
 
-// goodput is worth earned over worth asked for in time.
-func goodput(r *record.Recording, arms []*arm) (Plot, *plot.Plot, error) {
-	about := Plot{Title: "Goodput", Note: "Worth earned in each half second, as part of what is asked for in a mean one. Troubles are marked where they strike."}
-	p := blank("seconds", "part of the worth asked for")
-	top := 1.1
+// goodputPlot shows the value earned over time, as a fraction of the mean value requested.
+func goodputPlot(r *record.Recording, arms []*armStats) (Plot, *plot.Plot, error) {
+	info := Plot{Title: "Goodput", Note: "Value earned in each half second, as a fraction of the mean value requested in half a second. Troubles are shaded."}
+	p := newPlot("seconds", "fraction of the value requested")
+	yMax := 1.1
 	for _, a := range arms {
-		for _, v := range a.parts() {
-			top = max(top, v.Y)
+		for _, v := range a.goodputSeries() {
+			yMax = max(yMax, v.Y)
 		}
 	}
-	if err := troubles(p, r, top); err != nil {
-		return about, nil, err
+	if err := markTroubles(p, r, yMax); err != nil {
+		return info, nil, err
 	}
 	for i, a := range arms {
-		if err := line(p, a.name, i, a.parts()); err != nil {
-			return about, nil, err
+		if err := addLine(p, a.name, i, a.goodputSeries()); err != nil {
+			return info, nil, err
 		}
 	}
-	p.Y.Min, p.Y.Max = 0, top
-	return about, p, nil
+	p.Y.Min, p.Y.Max = 0, yMax
+	return info, p, nil
 }
 
-// parts are the arm's goodput by window, without the run's ragged ends.
-func (a *arm) parts() (xys plotter.XYs) {
-	first, last := 0, len(a.asked)-1
-	for first < last && a.asked[first] == 0 {
+// goodputSeries returns the arm's goodput by window. The windows before the first request and the last, incomplete one are
+// left out.
+func (a *armStats) goodputSeries() (xys plotter.XYs) {
+	first, last := 0, len(a.requested)-1
+	for first < last && a.requested[first] == 0 {
 		first++
 	}
 	sum := 0.0
-	for _, v := range a.asked {
+	for _, v := range a.requested {
 		sum += v
 	}
-	usual := sum / float64(max(1, last-first+1))
+	meanRequested := sum / float64(max(1, last-first+1))
 	for i := first; i < last && i < len(a.earned); i++ {
-		xys = append(xys, plotter.XY{X: (time.Duration(i) * window).Seconds(), Y: a.earned[i] / max(usual, 1e-9)})
+		xys = append(xys, plotter.XY{X: (time.Duration(i) * window).Seconds(), Y: a.earned[i] / max(meanRequested, 1e-9)})
 	}
 	return xys
 }
 
-// latency is the 99th percentile in time.
-func latency(r *record.Recording, arms []*arm) (Plot, *plot.Plot, error) {
-	about := Plot{Title: "Latency", Note: "99th percentile of what was served in each half second, in ms, on a logarithmic scale."}
-	p := blank("seconds", "ms")
-	top := 1.0
+// latencyPlot shows the 99th percentile of latency over time.
+func latencyPlot(r *record.Recording, arms []*armStats) (Plot, *plot.Plot, error) {
+	info := Plot{Title: "Latency", Note: "99th percentile of the latency of requests served in each half second, in ms, on a logarithmic scale."}
+	p := newPlot("seconds", "ms")
+	yMax := 1.0
 	all := make([]plotter.XYs, len(arms))
 	for i, a := range arms {
-		for w, h := range a.at99 {
+		for w, h := range a.latencyByWindow {
 			if h.TotalCount() > 0 {
 				ms := float64(h.ValueAtQuantile(99)) / 1000
 				all[i] = append(all[i], plotter.XY{X: (time.Duration(w) * window).Seconds(), Y: max(ms, 0.01)})
-				top = max(top, ms)
+				yMax = max(yMax, ms)
 			}
 		}
 	}
 	for i, a := range arms {
-		if err := line(p, a.name, i, all[i]); err != nil {
-			return about, nil, err
+		if err := addLine(p, a.name, i, all[i]); err != nil {
+			return info, nil, err
 		}
 	}
 	p.Y.Scale, p.Y.Tick.Marker = plot.LogScale{}, plot.LogTicks{Prec: -1}
-	p.Y.Max = top * 1.5
-	return about, p, nil
+	p.Y.Max = yMax * 1.5
+	return info, p, nil
 }
 
-// distribution is what part of each class was served within which time.
-func (a *arm) distribution() (Plot, *plot.Plot, error) {
-	about := Plot{Title: "Latency by class: " + a.name, Note: "What part of what was served took no longer than so many ms, on a logarithmic scale."}
-	if len(a.classes) == 0 {
-		return about, nil, nil
+// latencyByClassPlot shows the cumulative distribution of latency for each class.
+func (a *armStats) latencyByClassPlot() (Plot, *plot.Plot, error) {
+	info := Plot{Title: "Latency by class: " + a.name, Note: "Fraction of served requests with at most this latency in ms, on a logarithmic scale."}
+	if len(a.latencyByClass) == 0 {
+		return info, nil, nil
 	}
-	p := blank("ms", "part")
-	for i, class := range slices.Sorted(maps.Keys(a.classes)) {
+	p := newPlot("ms", "part")
+	for i, class := range slices.Sorted(maps.Keys(a.latencyByClass)) {
 		var xys plotter.XYs
 		for _, q := range []float64{0.1, 1, 5, 10, 20, 30, 40, 50, 60, 70, 80, 85, 90, 95, 97, 98, 99, 99.5, 99.9, 100} {
-			xys = append(xys, plotter.XY{X: max(0.001, float64(a.classes[class].ValueAtQuantile(q))/1000), Y: q / 100})
+			xys = append(xys, plotter.XY{X: max(0.001, float64(a.latencyByClass[class].ValueAtQuantile(q))/1000), Y: q / 100})
 		}
-		if err := line(p, class, i, xys); err != nil {
-			return about, nil, err
+		if err := addLine(p, class, i, xys); err != nil {
+			return info, nil, err
 		}
 	}
 	p.X.Scale, p.X.Tick.Marker = plot.LogScale{}, plot.LogTicks{Prec: -1}
 	p.Y.Min, p.Y.Max = 0, 1
 	p.Legend.Top, p.Legend.Left = false, false
-	return about, p, nil
+	return info, p, nil
 }
 
-// loads is how many attempts went to each node, in order of number.
-func (a *arm) loads() (Plot, *plot.Plot, error) {
-	about := Plot{Title: "Load by node: " + a.name, Note: fmt.Sprintf("Attempts at each of %d nodes, most first. %.1f%% of what was served came from a primary.", len(a.nodes),
-		100*float64(a.primary)/float64(max(1, a.reads)))}
-	if len(a.nodes) == 0 {
-		return about, nil, nil
+// loadPlot shows the attempts at each node, in descending order.
+func (a *armStats) loadPlot() (Plot, *plot.Plot, error) {
+	info := Plot{Title: "Load by node: " + a.name, Note: fmt.Sprintf("Attempts at each of %d nodes, in descending order. %.1f%% of served requests were served by a primary.", len(a.attemptsByNode),
+		100*float64(a.servedByPrimary)/float64(max(1, a.served)))}
+	if len(a.attemptsByNode) == 0 {
+		return info, nil, nil
 	}
 	values := plotter.Values{}
-	for _, n := range a.nodes {
+	for _, n := range a.attemptsByNode {
 		values = append(values, float64(n))
 	}
 	slices.SortFunc(values, func(x, y float64) int { return int(y - x) })
-	p := blank("nodes", "attempts")
+	p := newPlot("nodes", "attempts")
 	var xys plotter.XYs
 	for i, v := range values {
 		xys = append(xys, plotter.XY{X: float64(i), Y: v}, plotter.XY{X: float64(i + 1), Y: v})
 	}
-	if err := line(p, "", 0, xys); err != nil {
-		return about, nil, err
+	if err := addLine(p, "", 0, xys); err != nil {
+		return info, nil, err
 	}
 	p.Legend = plot.NewLegend()
 	p.Y.Min = 0
-	return about, p, nil
+	return info, p, nil
 }
 
-// cold is how much nodes got after their starts.
-func cold(arms []*arm) (Plot, *plot.Plot, error) {
-	about := Plot{Title: "Cold nodes", Note: "Attempts in each half second after a node's start, in the mean of all starts: what it is spared, and how soon it has its part."}
-	p, any := blank("seconds since the start", "attempts"), false
+// coldPlot shows the mean number of attempts at a node in the windows after its start.
+func coldPlot(arms []*armStats) (Plot, *plot.Plot, error) {
+	info := Plot{Title: "Cold nodes", Note: "Mean number of attempts at a node in each half second after its start: how much load it is spared, and how soon it has its full share."}
+	p, found := newPlot("seconds since the start", "attempts"), false
 	for i, a := range arms {
 		var xys plotter.XYs
-		for w, n := range a.cold {
+		for w, n := range a.coldAttempts {
 			if a.starts > 0 {
 				xys = append(xys, plotter.XY{X: (time.Duration(w) * window).Seconds(), Y: float64(n) / float64(a.starts)})
-				any = any || n > 0
+				found = found || n > 0
 			}
 		}
-		if err := line(p, a.name, i, xys); err != nil {
-			return about, nil, err
+		if err := addLine(p, a.name, i, xys); err != nil {
+			return info, nil, err
 		}
 	}
-	if !any {
-		return about, nil, nil
+	if !found {
+		return info, nil, nil
 	}
 	p.Y.Min = 0
 	p.Legend.Top, p.Legend.Left = true, true
-	return about, p, nil
+	return info, p, nil
 }
 
-// growth is how goodput and the 99th percentile move with what the arms differ in, where that is a number.
-func growth(arms []*arm, figures map[string]map[string][]float64) (Plot, *plot.Plot, error) {
-	about := Plot{Title: "Growth"}
-	kind := ""
-	var good, slow, polls plotter.XYs
+// growthPlot shows goodput, the 99th percentile of latency and the fraction refused against the number that the arms differ
+// in. It returns no plot unless at least three arms are named by the same directive and a number.
+func growthPlot(arms []*armStats, figures map[string]map[string][]float64) (Plot, *plot.Plot, error) {
+	info := Plot{Title: "Growth"}
+	parameter := ""
+	var goodput, p99, refused plotter.XYs
 	for i, a := range arms {
-		what, n, ok := scaleOf(a.name)
-		if !ok || i > 0 && what != kind {
-			return about, nil, nil
+		label, n, ok := splitNumber(a.name)
+		if !ok || i > 0 && label != parameter {
+			return info, nil, nil
 		}
-		kind = what
-		for name, into := range map[string]*plotter.XYs{"goodput": &good, "p99 all s": &slow, "refused": &polls} {
+		parameter = label
+		for name, into := range map[string]*plotter.XYs{"goodput": &goodput, "p99 all s": &p99, "refused": &refused} {
 			if vs := figures[a.name][name]; len(vs) > 0 && !math.IsNaN(mean(vs)) {
 				*into = append(*into, plotter.XY{X: n, Y: mean(vs)})
 			}
 		}
 	}
-	if len(good) < 3 {
-		return about, nil, nil
+	if len(goodput) < 3 {
+		return info, nil, nil
 	}
-	about.Note = "Means of all repeats against " + kind + ", on a logarithmic scale."
-	p := blank(kind, "")
+	info.Note = "Means of all repeats against " + parameter + ", on a logarithmic scale."
+	p := newPlot(parameter, "")
 	for i, l := range []struct {
 		name   string
 		points plotter.XYs
-	}{{"goodput", good}, {"p99 in s", slow}, {"refused", polls}} {
-		if err := line(p, l.name, i, l.points); err != nil {
-			return about, nil, err
+	}{{"goodput", goodput}, {"p99 in s", p99}, {"refused", refused}} {
+		if err := addLine(p, l.name, i, l.points); err != nil {
+			return info, nil, err
 		}
 	}
 	p.X.Scale, p.X.Tick.Marker = plot.LogScale{}, plot.LogTicks{Prec: -1}
 	p.Y.Min = 0
-	return about, p, nil
+	return info, p, nil
 }
--- a/lab/report/report.go
+++ b/lab/report/report.go
@@ -1,5 +1,6 @@
-// Package report makes one self-contained page of HTML out of a recording: what each arm came to, how sure that is, and
-// how goodput, latency and load went while troubles struck.
+// Package report turns a recording (lab/record) into an HTML page. The page needs no other files; it shows the figures of
+// each arm with confidence intervals, the broken rules, and plots of goodput, latency and load over time with the troubles
+// marked. The command lab report calls it.
 package report
 
 import (
@@ -25,96 +26,96 @@
 //go:embed page.html
 var page string
 
-// window is over which worth is summed for plots.
+// window is the time that one point of a plot covers.
 const window = 500 * time.Millisecond
 
-// arm is what rows of one arm came to.
-type arm struct {
-	name          string
-	asked, earned []float64                          // worth by window, of all repeats
-	at99          []*hdrhistogram.Histogram          // by window, of what was served, in microseconds
-	classes       map[string]*hdrhistogram.Histogram // likewise, by class
-	nodes         map[string]int                     // attempts
-	causes        map[string]int
-	started       map[string]int64 // by repeat and node, its last start
-	starts        int
-	cold          [coldWindows]int // attempts by time since the start of their node
-	requests      int
-	primary       int // reads served there
-	reads         int
+// armStats are the totals of the rows of one arm, over all repeats.
+type armStats struct {
+	name              string
+	requested, earned []float64                          // value by window
+	latencyByWindow   []*hdrhistogram.Histogram          // of served requests, in microseconds
+	latencyByClass    map[string]*hdrhistogram.Histogram // likewise
+	attemptsByNode    map[string]int
+	causes            map[string]int
+	lastStart         map[string]int64 // time of the last start, by repeat and node
+	starts            int
+	coldAttempts      [coldWindows]int // attempts by windows since the start of their node
+	requests          int
+	servedByPrimary   int // requests served by a primary
+	served            int
 }
 
-// gather reads a recording once.
-func gather(r *record.Recording) ([]*arm, error) {
-	byName := map[string]*arm{}
-	var all []*arm
+// collect reads the rows of a recording and returns the totals of each arm, in the order of the experiment.
+func collect(r *record.Recording) ([]*armStats, error) {
+	byName := map[string]*armStats{}
+	var all []*armStats
 	err := r.Each(func(row *record.Row) error {
 		a := byName[row.Arm]
 		if a == nil {
-			a = &arm{name: row.Arm, classes: map[string]*hdrhistogram.Histogram{}, nodes: map[string]int{}, causes: map[string]int{}, started: map[string]int64{}}
+			a = &armStats{name: row.Arm, latencyByClass: map[string]*hdrhistogram.Histogram{}, attemptsByNode: map[string]int{}, causes: map[string]int{}, lastStart: map[string]int64{}}
 			byName[row.Arm], all = a, append(all, a)
 		}
 		switch row.Kind {
 		case record.KindAttempt:
-			a.nodes[row.Node]++
-			a.warming(row)
+			a.attemptsByNode[row.Node]++
+			a.addColdAttempt(row)
 		case record.KindStart:
 			a.starts++
-			a.started[fmt.Sprint(row.Repeat, row.Node)] = row.Sent
+			a.lastStart[fmt.Sprint(row.Repeat, row.Node)] = row.Sent
 		default:
-			a.add(row)
+			a.addRequest(row)
 		}
 		return nil
 	})
-	order := map[string]int{} // as the experiment has them, not as their rows came
+	order := map[string]int{} // of arms in the experiment; rows of parallel runs come in any order
 	for i, run := range r.About.Runs {
 		if _, ok := order[run.Arm]; !ok {
 			order[run.Arm] = i
 		}
 	}
-	slices.SortStableFunc(all, func(a, b *arm) int { return cmp.Compare(order[a.name], order[b.name]) })
+	slices.SortStableFunc(all, func(a, b *armStats) int { return cmp.Compare(order[a.name], order[b.name]) })
 	return all, err
 }
 
-// coldWindows is over how many windows after a node's start its attempts are told apart.
+// coldWindows is the number of windows after a node's start for which its attempts are counted.
 const coldWindows = 20
 
-// warming counts an attempt at a node that began anew not long before.
-func (a *arm) warming(row *record.Row) {
-	if at, ok := a.started[fmt.Sprint(row.Repeat, row.Node)]; ok && row.Sent >= at {
+// addColdAttempt counts an attempt at a node that started less than coldWindows windows before.
+func (a *armStats) addColdAttempt(row *record.Row) {
+	if at, ok := a.lastStart[fmt.Sprint(row.Repeat, row.Node)]; ok && row.Sent >= at {
 		if i := (row.Sent - at) / window.Nanoseconds(); i < coldWindows {
-			a.cold[i]++
+			a.coldAttempts[i]++
 		}
 	}
 }
 
-func (a *arm) add(row *record.Row) {
+func (a *armStats) addRequest(row *record.Row) {
 	a.requests++
-	put(&a.asked, row.Sent, row.Asked)
+	addToWindow(&a.requested, row.Sent, row.Asked)
 	if row.Outcome != "served" {
 		if row.Cause != "" {
 			a.causes[row.Class+": "+row.Cause]++
 		}
 		return
 	}
-	put(&a.earned, row.Ended, row.Worth)
+	addToWindow(&a.earned, row.Ended, row.Worth)
 	took := max(1, row.Took().Microseconds())
-	if a.classes[row.Class] == nil {
-		a.classes[row.Class] = hdrhistogram.New(1, 600_000_000, 3)
+	if a.latencyByClass[row.Class] == nil {
+		a.latencyByClass[row.Class] = hdrhistogram.New(1, 600_000_000, 3)
 	}
-	a.classes[row.Class].RecordValue(took)
+	a.latencyByClass[row.Class].RecordValue(took)
 	i := int(row.Ended / window.Nanoseconds())
-	for len(a.at99) <= i {
-		a.at99 = append(a.at99, hdrhistogram.New(1, 600_000_000, 2))
+	for len(a.latencyByWindow) <= i {
+		a.latencyByWindow = append(a.latencyByWindow, hdrhistogram.New(1, 600_000_000, 2))
 	}
-	a.at99[i].RecordValue(took)
+	a.latencyByWindow[i].RecordValue(took)
 	if row.Role == "primary" {
-		a.primary++
+		a.servedByPrimary++
 	}
-	a.reads++
+	a.served++
 }
 
-func put(sums *[]float64, at int64, v float64) {
+func addToWindow(sums *[]float64, at int64, v float64) {
 	i := int(max(0, at) / window.Nanoseconds())
 	for len(*sums) <= i {
 		*sums = append(*sums, 0)
@@ -122,7 +123,7 @@
 	(*sums)[i] += v
 }
 
-// View is what the page shows.
+// View is the data of the page; page.html refers to its fields by name.
 type View struct {
 	Title, How, Verdict string
 	Good                bool
@@ -139,28 +140,28 @@
 	Text                string
 }
 
-// ArmView is a line of the table of arms.
+// ArmView is a row of the table of arms.
 type ArmView struct {
 	Name    string
 	Cells   []Cell
-	Gain    string // of goodput against the first arm
-	Against string // between which values it lies
-	Better  int    // 1, 0 or -1
+	Gain    string // difference of mean goodput from the first arm
+	Against string // confidence interval of Gain
+	Better  int    // 1 if the goodput is significantly better, -1 if worse, else 0
 	Causes  []string
 }
 
-// Cell is a mean, and between which values it lies.
+// Cell is a mean and its confidence interval.
 type Cell struct{ Mean, Within string }
 
-// Plot is a picture.
+// Plot is a plot with its title and a note.
 type Plot struct {
 	Title, Note string
 	SVG         template.HTML
 }
 
-// Write makes the page of a recording.
+// Write writes the page of a recording. It is an error if the recording has no rows.
 func Write(out io.Writer, r *record.Recording) error {
-	v, err := view(r)
+	v, err := buildView(r)
 	if err != nil {
 		return err
 	}
@@ -176,26 +177,26 @@
 	return err
 }
 
-func view(r *record.Recording) (*View, error) {
-	arms, err := gather(r)
+func buildView(r *record.Recording) (*View, error) {
+	arms, err := collect(r)
 	if err != nil {
 		return nil, err
 	}
 	if len(arms) == 0 {
-		return nil, fmt.Errorf("report: the recording of %s holds no request", r.About.Name)
+		return nil, fmt.Errorf("report: the recording of %s has no requests", r.About.Name)
 	}
-	v := &View{Title: r.About.Name, How: "simulated: figures are the model's", Seed: r.About.Seed, Version: r.About.Version, Go: r.About.Go, Text: r.About.Text,
+	v := &View{Title: r.About.Name, How: "simulated: figures come from the model", Seed: r.About.Seed, Version: r.About.Version, Go: r.About.Go, Text: r.About.Text,
 		Began: r.About.Began.Format("2006-01-02 15:04"), Cut: r.Cut || r.About.Ended.IsZero()}
 	if r.About.Live {
-		v.How = "live: figures are of stand-ins on one machine"
+		v.How = "live: figures come from stand-in nodes on one machine"
 	}
-	figures := byArm(r.About.Runs)
+	figures := figuresByArm(r.About.Runs)
 	for _, a := range arms {
 		v.Rows += a.requests
-		v.Arms = append(v.Arms, a.line(figures, arms[0].name))
+		v.Arms = append(v.Arms, a.tableRow(figures, arms[0].name))
 		v.Repeats = max(v.Repeats, len(figures[a.name]["goodput"]))
 	}
-	for _, c := range shown {
+	for _, c := range tableColumns {
 		v.Columns = append(v.Columns, c.name)
 	}
 	for _, run := range r.About.Runs {
@@ -203,39 +204,39 @@
 			v.Broken = append(v.Broken, fmt.Sprintf("%s, repeat %d: %s", run.Arm, run.Repeat+1, b))
 		}
 	}
-	v.Verdict, v.Good = verdict(v)
-	if v.Plots, err = plots(r, arms, figures); err != nil {
+	v.Verdict, v.Good = summarize(v)
+	if v.Plots, err = buildPlots(r, arms, figures); err != nil {
 		return nil, err
 	}
 	return v, nil
 }
 
-// verdict is the page in one line.
-func verdict(v *View) (string, bool) {
+// summarize returns the result of the run in a few sentences, and whether it was good.
+func summarize(v *View) (string, bool) {
 	switch {
 	case len(v.Broken) > 0:
 		return fmt.Sprintf("%d rules broken.", len(v.Broken)), false
 	case v.Cut:
-		return "The run was cut short; what it came to is not known.", false
+		return "The run did not end; its result is not known.", false
 	}
-	said := []string{"No rule broken."}
+	sentences := []string{"No rule broken."}
 	for _, a := range v.Arms[1:] {
 		if a.Better != 0 {
-			said = append(said, fmt.Sprintf("%s is %s than %s (goodput %s, in 95 of 100 cases %s).", a.Name, map[int]string{1: "better", -1: "worse"}[a.Better], v.Arms[0].Name, a.Gain, a.Against))
+			sentences = append(sentences, fmt.Sprintf("%s is %s than %s (goodput %s, in 95 of 100 cases %s).", a.Name, map[int]string{1: "better", -1: "worse"}[a.Better], v.Arms[0].Name, a.Gain, a.Against))
 		}
 	}
-	if len(v.Arms) > 1 && len(said) == 1 {
-		said = append(said, "No arm is shown to differ from "+v.Arms[0].Name+" in goodput.")
+	if len(v.Arms) > 1 && len(sentences) == 1 {
+		sentences = append(sentences, "No arm differs significantly from "+v.Arms[0].Name+" in goodput.")
 	}
-	return strings.Join(said, " "), true
+	return strings.Join(sentences, " "), true
 }
 
-// shown are the figures of the table, with how they are written.
-var shown = []struct{ name, form string }{{"goodput", "%.3f"}, {"served", "%.3f"}, {"refused", "%.3f"}, {"failed", "%.4f"}, {"p50 s", "%.3f"}, {"p99 all s", "%.3f"},
+// tableColumns are the figures in the table, with their formats.
+var tableColumns = []struct{ name, format string }{{"goodput", "%.3f"}, {"served", "%.3f"}, {"refused", "%.3f"}, {"failed", "%.4f"}, {"p50 s", "%.3f"}, {"p99 all s", "%.3f"},
 	{"at primary", "%.3f"}, {"polls/node/s", "%.0f"}, {"noticed s", "%.2f"}, {"recovery s", "%.2f"}}
 
-// byArm are the figures of all repeats, by arm and name.
-func byArm(runs []record.Run) map[string]map[string][]float64 {
+// figuresByArm returns the figures of all repeats by arm and name.
+func figuresByArm(runs []record.Run) map[string]map[string][]float64 {
 	all := map[string]map[string][]float64{}
 	for _, run := range runs {
 		if all[run.Arm] == nil {
@@ -256,26 +257,26 @@
 	return sum / float64(len(vs))
 }
 
-// line is an arm of the table.
-func (a *arm) line(figures map[string]map[string][]float64, first string) ArmView {
+// tableRow returns the row of an arm in the table; first is the name of the arm that it is compared with.
+func (a *armStats) tableRow(figures map[string]map[string][]float64, first string) ArmView {
 	v := ArmView{Name: a.name}
-	for _, c := range shown {
+	for _, c := range tableColumns {
 		vs := figures[a.name][c.name]
 		if len(vs) == 0 {
 			v.Cells = append(v.Cells, Cell{Mean: "–"})
 			continue
 		}
-		cell := Cell{Mean: fmt.Sprintf(c.form, mean(vs))}
+		cell := Cell{Mean: fmt.Sprintf(c.format, mean(vs))}
 		if low, high := experiment.Interval(vs); !math.IsNaN(low) && high-low > 0 {
-			cell.Within = fmt.Sprintf(c.form+"–"+c.form, low, high)
+			cell.Within = fmt.Sprintf(c.format+"–"+c.format, low, high)
 		}
 		v.Cells = append(v.Cells, cell)
 	}
-	mine, than := figures[a.name]["goodput"], figures[first]["goodput"]
-	if a.name != first && len(mine) == len(than) && len(mine) > 0 {
-		gains := make([]float64, len(mine))
-		for i := range mine {
-			gains[i] = mine[i] - than[i]
+	own, baseline := figures[a.name]["goodput"], figures[first]["goodput"]
+	if a.name != first && len(own) == len(baseline) && len(own) > 0 {
+		gains := make([]float64, len(own))
+		for i := range own {
+			gains[i] = own[i] - baseline[i]
 		}
 		low, high := experiment.Interval(gains)
 		v.Gain = fmt.Sprintf("%+.3f", mean(gains))
@@ -293,8 +294,9 @@
 	return v
 }
 
-// scaleOf is the number that an arm's name ends with, and what stands before it; ok is false without one.
-func scaleOf(name string) (what string, n float64, ok bool) {
+// splitNumber splits an arm's name, like "rate 100", into the text and the number at its end, in seconds if it is a duration.
+// It returns false if the name does not end with a number.
+func splitNumber(name string) (label string, n float64, ok bool) {
 	i := strings.LastIndex(name, " ")
 	if i < 0 {
 		return "", 0, false
--- a/lab/report/report_test.go
+++ b/lab/report/report_test.go
@@ -28,8 +28,8 @@
 }
 `
 
-// recorded plays an experiment into a recording.
-func recorded(t *testing.T, text string, plant world.Plant) *record.Recording {
+// recordRun runs an experiment and returns its recording.
+func recordRun(t *testing.T, text string, plant world.Plant) *record.Recording {
 	t.Helper()
 	x, err := experiment.Parse("x", text)
 	if err != nil {
@@ -56,7 +56,7 @@
 	return r
 }
 
-func page3(t *testing.T, r *record.Recording) string {
+func renderPage(t *testing.T, r *record.Recording) string {
 	t.Helper()
 	var b strings.Builder
 	if err := Write(&b, r); err != nil {
@@ -65,16 +65,16 @@
 	return b.String()
 }
 
-// TestPage: arms, troubles, plots and a verdict stand in it, names are escaped, and nothing is fetched from elsewhere.
+// TestPage checks that the page shows arms, troubles, plots and a verdict, escapes names and refers to no other files.
 func TestPage(t *testing.T) {
-	html := page3(t, recorded(t, file+"vary rate 50 100 200\n", world.NoPlant))
+	html := renderPage(t, recordRun(t, file+"vary rate 50 100 200\n", world.NoPlant))
 	for _, want := range []string{"a &lt;small&gt; one", "rate 50", "rate 200", "No rule broken.", "crash", "Growth", "Latency by class: rate 50", "Load by node", "Cold nodes", "95 of 100", "simulated"} {
 		if !strings.Contains(html, want) {
-			t.Errorf("%q is not in it", want)
+			t.Errorf("the page lacks %q", want)
 		}
 	}
 	if strings.Contains(html, "<script") || strings.Contains(html, "src=") || strings.Contains(html, "href=") || strings.Contains(html, "0001-01-01") {
-		t.Error("it is not self-contained, or tells no time")
+		t.Error("the page refers to other files, or shows no time")
 	}
 	for _, svg := range strings.Split(html, "<svg")[1:] {
 		d := xml.NewDecoder(strings.NewReader("<svg" + svg[:strings.Index(svg, "</svg>")+6]))
@@ -82,23 +82,23 @@
 			if _, err := d.Token(); errors.Is(err, io.EOF) {
 				break
 			} else if err != nil {
-				t.Fatalf("a picture that is none: %v", err)
+				t.Fatalf("invalid SVG: %v", err)
 			}
 		}
 	}
 }
 
-// TestBrokenRules stand at the head of the page.
+// TestBrokenRules checks that the page shows a broken rule, and says so in its verdict.
 func TestBrokenRules(t *testing.T) {
-	html := page3(t, recorded(t, file, world.PlantSilent))
+	html := renderPage(t, recordRun(t, file, world.PlantSilent))
 	if !strings.Contains(html, "rules broken.") || !strings.Contains(html, world.RuleAnswer) || strings.Contains(html, "No rule broken") {
 		t.Error("the page does not say that a rule was broken")
 	}
 }
 
-// TestBetter: an arm that earns more is named as better, one that differs by chance is not.
-func TestBetter(t *testing.T) {
-	v, err := view(recorded(t, file+"arm one {\n}\narm two {\n drivers 3\n}\narm three {\n work 400ms\n}\n", world.NoPlant))
+// TestVerdict checks that the verdict names an arm with significantly less goodput, and not one that differs by chance.
+func TestVerdict(t *testing.T) {
+	v, err := buildView(recordRun(t, file+"arm one {\n}\narm two {\n drivers 3\n}\narm three {\n work 400ms\n}\n", world.NoPlant))
 	if err != nil {
 		t.Fatal(err)
 	}
