--- a/standin/log.go
+++ b/standin/log.go
@@ -1,7 +1,7 @@
-// Package standin plays db nodes: a primary and replicas in this process that speak the PostgreSQL protocol
-// on loopback, keep a small table with a replicated log, and fail when told to. They record every statement
-// that reaches them, so that what a driver did can be judged by its traffic alone. They are no database; what
-// they understand is listed at run in sql.go.
+// Package standin simulates groups of PostgreSQL nodes, a primary and its replicas, in this process: clients send them
+// the statements listed in sql.go over the wire protocol on loopback, and the caller configures them and injects faults.
+// They answer from a small key-value table with a replicated log, and record every statement, connection and commit, so
+// that a driver can be judged by its traffic alone. Tests and the packages of lab call it.
 package standin
 
 import (
@@ -18,56 +18,56 @@
 	"umberladder/position"
 )
 
-// lsnStep is how many bytes of log one record takes.
+// lsnStep is the length of one log record in bytes.
 const lsnStep = 64
 
-// firstXID is the id of the first transaction.
+// firstXID is the id of a group's first transaction.
 const firstXID = 700
 
-// record is one commit.
+// record is the log record of one commit.
 type record struct {
-	lsn   uint64
-	key   string
-	value string
-	at    time.Time
-	xid   uint64
-	below uint64 // no transaction at or above it is in the log up to here
+	lsn         uint64
+	key         string
+	value       string
+	committedAt time.Time
+	xid         uint64
+	nextXID     uint64 // above every transaction id in the log up to and including this record
 }
 
-// branch is the log of one timeline, the records inherited from older ones included.
+// branch is the log of one timeline, including the records inherited from older timelines.
 type branch struct {
 	timeline uint32
 	records  []record
-	byKey    map[string][]int // places in records, rising
-	byXID    map[uint64]int   // where in records a transaction's commit was put
+	byKey    map[string][]int // indexes in records, ascending
+	byXID    map[uint64]int   // index in records of a transaction's commit
 }
 
 func (b *branch) add(r record) {
-	r.below = max(r.xid+1, b.below(len(b.records)))
+	r.nextXID = max(r.xid+1, b.nextXID(len(b.records)))
 	b.byKey[r.key] = append(b.byKey[r.key], len(b.records))
 	b.byXID[r.xid] = len(b.records)
 	b.records = append(b.records, r)
 }
 
-// committed tells whether a transaction's commit is one of the first n records.
+// committed reports whether a transaction's commit is among the first n records.
 func (b *branch) committed(xid uint64, n int) bool {
 	i, ok := b.byXID[xid]
 	return ok && i < n && b.records[i].xid == xid
 }
 
-// below is above every transaction of the first n records.
-func (b *branch) below(n int) uint64 {
+// nextXID returns the lowest transaction id above all those of the first n records.
+func (b *branch) nextXID(n int) uint64 {
 	if n == 0 {
 		return firstXID
 	}
-	return b.records[n-1].below
+	return b.records[n-1].nextXID
 }
 
 func newBranch(timeline uint32) *branch {
 	return &branch{timeline: timeline, byKey: map[string][]int{}, byXID: map[uint64]int{}}
 }
 
-// fork begins the next timeline after the first n records.
+// fork returns a branch of the next timeline that inherits the first n records.
 func (b *branch) fork(n int) *branch {
 	next := newBranch(b.timeline + 1)
 	for _, r := range b.records[:n] {
@@ -76,8 +76,8 @@
 	return next
 }
 
-// at is where a member stands that has applied the first n records.
-func (b *branch) at(n int) position.Position {
+// position returns the log position of a member that has replayed the first n records.
+func (b *branch) position(n int) position.Position {
 	p := position.Position{Timeline: b.timeline, LSN: lsnStep}
 	if n > 0 {
 		p.LSN = b.records[n-1].lsn
@@ -85,45 +85,45 @@
 	return p
 }
 
-// snapshot is what a statement sees: the first n records of a branch without those that are logged and not visible.
+// snapshot is the data that a statement sees: the first n records of a branch, except those logged but not yet visible.
 type snapshot struct {
-	group   *Group
-	branch  *branch
-	n       int
-	hidden  map[uint64]bool // by LSN
-	replica bool
-	over    uint64 // every transaction below it is over and shown
+	group        *Group
+	branch       *branch
+	n            int
+	hidden       map[uint64]bool // by LSN
+	replica      bool
+	xidWatermark uint64 // see Node.xidWatermark
 }
 
-func (s *snapshot) at() position.Position {
+func (s *snapshot) position() position.Position {
 	s.group.mu.Lock()
 	defer s.group.mu.Unlock()
-	return s.branch.at(s.n)
+	return s.branch.position(s.n)
 }
 
-// value is what a key holds, with the place of its record.
+// value returns the newest visible value of a key and the LSN of its record.
 func (s *snapshot) value(key string) (value string, lsn uint64, ok bool) {
 	s.group.mu.Lock()
 	defer s.group.mu.Unlock()
-	places := s.branch.byKey[key]
-	for i := sort.SearchInts(places, s.n) - 1; i >= 0; i-- {
-		if r := s.branch.records[places[i]]; !s.hidden[r.lsn] {
+	indexes := s.branch.byKey[key]
+	for i := sort.SearchInts(indexes, s.n) - 1; i >= 0; i-- {
+		if r := s.branch.records[indexes[i]]; !s.hidden[r.lsn] {
 			return r.value, r.lsn, true
 		}
 	}
 	return "", 0, false
 }
 
-// look takes a snapshot of what the node shows now.
-func (n *Node) look() snapshot {
-	age := n.age()
+// takeSnapshot returns a snapshot of the data that the node shows now, or earlier data while reads are to be stale.
+func (n *Node) takeSnapshot() snapshot {
+	age := n.staleness()
 	n.group.mu.Lock()
 	defer n.group.mu.Unlock()
-	return snapshot{group: n.group, branch: n.branch, n: n.branch.before(max(n.applied, n.shown), age), hidden: maps.Clone(n.hidden), replica: !n.believes,
-		over: n.over()}
+	return snapshot{group: n.group, branch: n.branch, n: n.branch.recordsOlderThan(max(n.applied, n.visible), age), hidden: maps.Clone(n.hidden), replica: !n.actsAsPrimary,
+		xidWatermark: n.xidWatermark()}
 }
 
-// Commit is one write that a primary took, as its group remembers it.
+// Commit is one write that a node logged as primary.
 type Commit struct {
 	Key, Value string
 	At         time.Time
@@ -131,60 +131,62 @@
 	Node       string
 }
 
-// Group is one slice: nodes that share a log.
+// Group is one slice: the nodes that replicate one log. All methods may be called from any goroutine.
 type Group struct {
 	Name  string
 	trace *Trace
 
-	mu       sync.Mutex
-	moved    *sync.Cond // the log or a member's place in it changed
-	nodes    []*Node
-	primary  *Node
-	branch   *branch // of the present primary
-	commits  []Commit
-	forks    []position.Position // where each timeline began
-	promoted []time.Time
-	keyed    map[string]keyedRun // repeats that are discarded
-	xid      uint64              // the next transaction's
-	window   time.Duration
+	mu          sync.Mutex
+	changed     *sync.Cond // signalled when the log, a member's state or a member's log position changes
+	nodes       []*Node
+	primary     *Node
+	branch      *branch // of the current primary
+	commits     []Commit
+	forkPoints  []position.Position // position at which each timeline begins, by timeline from 1
+	promoted    []time.Time
+	keyedWrites map[string]keyedWrite // by idempotency key, to discard repeats
+	nextXID     uint64                // id of the next transaction
+	dedupWindow time.Duration
 }
 
-type keyedRun struct {
+type keyedWrite struct {
 	at  time.Time
 	lsn uint64
 }
 
-// NewGroup makes a slice without nodes. Repeats of an idempotency key are discarded for window.
+// NewGroup returns a slice without nodes that records into trace. A write that repeats an idempotency key within window
+// of the first is discarded.
 func NewGroup(name string, window time.Duration, trace *Trace) *Group {
 	g := &Group{Name: name, trace: trace, branch: newBranch(1),
-		keyed: map[string]keyedRun{}, window: window, xid: firstXID}
-	g.moved = sync.NewCond(&g.mu)
-	g.forks = []position.Position{g.branch.at(0)}
+		keyedWrites: map[string]keyedWrite{}, dedupWindow: window, nextXID: firstXID}
+	g.changed = sync.NewCond(&g.mu)
+	g.forkPoints = []position.Position{g.branch.position(0)}
 	return g
 }
 
-// Nodes lists the members in the order in which they were added.
+// Nodes returns the members in the order in which they were added.
 func (g *Group) Nodes() []*Node {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return append([]*Node(nil), g.nodes...)
 }
 
-// Primary is the present primary.
+// Primary returns the current primary, or nil before a node was added.
 func (g *Group) Primary() *Node {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.primary
 }
 
-// Commits lists every write that was taken, on any timeline, in order.
+// Commits returns every write that was logged, on any timeline, in the order of logging.
 func (g *Group) Commits() []Commit {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return append([]Commit(nil), g.commits...)
 }
 
-// Log lists the commits of the present history in its order, and which others a promotion left out.
+// Log returns the commits on the current timeline in log order, and the commits that are not part of it: a crash or a
+// promotion lost them, or a node logged them on a branch of its own. Values must be unique to tell commits apart.
 func (g *Group) Log() (kept, lost []Commit) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -205,7 +207,7 @@
 	return kept, lost
 }
 
-// TimelineAt is the timeline of the slice's primary at a time.
+// TimelineAt returns the timeline of the slice's primary at the given time, by the promotions so far.
 func (g *Group) TimelineAt(when time.Time) uint32 {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -218,62 +220,62 @@
 	return tl
 }
 
-// Survives tells whether a place of the log is part of a timeline's history.
+// Survives reports whether a log position is part of a timeline's history.
 func (g *Group) Survives(p position.Position, timeline uint32) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	for t := p.Timeline; t < timeline && int(t) < len(g.forks); t++ {
-		if p.LSN > g.forks[t].LSN {
+	for t := p.Timeline; t < timeline && int(t) < len(g.forkPoints); t++ {
+		if p.LSN > g.forkPoints[t].LSN {
 			return false
 		}
 	}
 	return p.Timeline <= timeline
 }
 
-// history is a timeline's history file: where each older one was left.
+// history returns a timeline's history file: the LSN at which each older timeline ended.
 func (n *Node) history(timeline uint32) string {
 	n.group.mu.Lock()
 	defer n.group.mu.Unlock()
 	var b strings.Builder
-	for t := uint32(1); t < timeline && int(t) < len(n.group.forks); t++ {
-		_, lsn, _ := strings.Cut(n.group.forks[t].String(), ":")
+	for t := uint32(1); t < timeline && int(t) < len(n.group.forkPoints); t++ {
+		_, lsn, _ := strings.Cut(n.group.forkPoints[t].String(), ":")
 		fmt.Fprintf(&b, "%d\t%s\tno recovery target specified\n", t, lsn)
 	}
 	return b.String()
 }
 
-// Promote makes a member the primary of a new timeline. The others that run follow it, giving up what they
-// have beyond its place. A former primary that still runs goes on believing in itself until it starts again.
+// Promote makes a member the primary of a new timeline. The other members follow it and discard log beyond its position,
+// except a former primary that is still running: it continues to act as primary until Restart or Rejoin.
 func (g *Group) Promote(n *Node) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	old := g.primary
-	n.applied = max(n.applied, n.shown) // a record whose replay began is replayed to its end
+	n.applied = max(n.applied, n.visible) // replay of a record that has begun is completed
 	g.branch = n.branch.fork(n.applied)
-	g.forks = append(g.forks, g.branch.at(n.applied))
+	g.forkPoints = append(g.forkPoints, g.branch.position(n.applied))
 	g.primary = n
 	g.promoted = append(g.promoted, time.Now())
 	for _, m := range g.nodes {
 		if m == old && m != n && m.running {
 			continue
 		}
-		m.believes = false
+		m.actsAsPrimary = false
 		m.follow(g.branch)
 	}
-	n.believes = true
+	n.actsAsPrimary = true
 	n.applied = len(g.branch.records)
-	n.shown = n.applied
-	g.moved.Broadcast()
+	n.visible = n.applied
+	g.changed.Broadcast()
 }
 
-// Promotions are when members became primary, the first one apart.
+// Promotions returns the times at which members were promoted; the first primary was not.
 func (g *Group) Promotions() []time.Time {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return append([]time.Time(nil), g.promoted...)
 }
 
-// MostAdvanced is the running replica that has applied the most, nil if there is none.
+// MostAdvanced returns the running replica on the current timeline that has replayed the most log, or nil if there is none.
 func (g *Group) MostAdvanced() *Node {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -286,7 +288,7 @@
 	return best
 }
 
-// follow puts a member onto a branch, keeping what both share.
+// follow moves a member to another branch; it keeps the records that both branches share.
 func (n *Node) follow(b *branch) {
 	if n.branch != b {
 		shared := 0
@@ -295,15 +297,15 @@
 		}
 		n.branch, n.applied = b, shared
 	}
-	n.shown, n.hidden, n.active = n.applied, nil, nil
+	n.visible, n.hidden, n.active = n.applied, nil, nil
 }
 
-// begin gives a writing transaction its id.
-func (n *Node) begin() uint64 {
+// beginTransaction assigns an id to a writing transaction.
+func (n *Node) beginTransaction() uint64 {
 	n.group.mu.Lock()
 	defer n.group.mu.Unlock()
-	xid := n.group.xid
-	n.group.xid++
+	xid := n.group.nextXID
+	n.group.nextXID++
 	if n.active == nil {
 		n.active = map[uint64]bool{}
 	}
@@ -311,8 +313,8 @@
 	return xid
 }
 
-// end makes a transaction visible, or forgets one that came to nothing.
-func (n *Node) end(xid uint64, at position.Position) {
+// endTransaction makes the commit at a log position visible, or ends a transaction that logged none.
+func (n *Node) endTransaction(xid uint64, at position.Position) {
 	n.group.mu.Lock()
 	defer n.group.mu.Unlock()
 	delete(n.active, xid)
@@ -321,153 +323,153 @@
 	}
 }
 
-// write appends a commit at the primary of n's own branch and returns its place. The commit does not show before
-// end. A repeat of an idempotency key within the window changes nothing.
+// write logs a commit on n's branch and returns its position. The commit is not visible before endTransaction. A repeat of
+// an idempotency key within the window logs nothing and returns false.
 func (g *Group) write(n *Node, xid uint64, key, value, idempotency string) (position.Position, bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := time.Now()
-	if run, ok := g.keyed[idempotency]; idempotency != "" && ok && now.Sub(run.at) < g.window {
-		return position.Position{Timeline: n.branch.timeline, LSN: run.lsn}, false
+	if prior, ok := g.keyedWrites[idempotency]; idempotency != "" && ok && now.Sub(prior.at) < g.dedupWindow {
+		return position.Position{Timeline: n.branch.timeline, LSN: prior.lsn}, false
 	}
-	r := record{lsn: lsnStep * uint64(len(n.branch.records)+2), key: key, value: value, at: now, xid: xid}
+	r := record{lsn: lsnStep * uint64(len(n.branch.records)+2), key: key, value: value, committedAt: now, xid: xid}
 	n.branch.add(r)
 	n.applied = len(n.branch.records)
-	n.shown = n.applied
+	n.visible = n.applied
 	if n.hidden == nil {
 		n.hidden = map[uint64]bool{}
 	}
 	n.hidden[r.lsn] = true
-	at := n.branch.at(n.applied)
+	at := n.branch.position(n.applied)
 	g.commits = append(g.commits, Commit{key, value, now, at, n.Name})
 	if idempotency != "" {
-		g.keyed[idempotency] = keyedRun{now, r.lsn}
+		g.keyedWrites[idempotency] = keyedWrite{now, r.lsn}
 	}
-	g.moved.Broadcast()
+	g.changed.Broadcast()
 	return at, true
 }
 
-// settle waits until a logged commit may show: for as long as the node takes, and for its synchronous standbys.
-// false once the process is over.
-func (n *Node) settle(run *run, at position.Position) bool {
-	pause(run.ctx, n.cfg.Settle)
+// waitVisible waits until a logged commit may become visible: for the configured delay, for HoldCommits to end and for
+// the synchronous standbys. It returns false if the process has ended.
+func (n *Node) waitVisible(p *process, at position.Position) bool {
+	sleep(p.ctx, n.cfg.Settle)
 	g := n.group
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	for run.ctx.Err() == nil && n.branch.timeline == at.Timeline && (n.holding || g.appliedBy(at) < n.cfg.RemoteApply) {
-		g.moved.Wait()
+	for p.ctx.Err() == nil && n.branch.timeline == at.Timeline && (n.holdCommits || g.appliedBy(at) < n.cfg.RemoteApply) {
+		g.changed.Wait()
 	}
-	return run.ctx.Err() == nil
+	return p.ctx.Err() == nil
 }
 
-// HoldCommits keeps commits that are logged from showing on the node and from being answered, until told otherwise:
-// the moment between a commit's record and the end of its transaction, made as long as a test wants it. Replicas
-// replay the record all the while.
+// HoldCommits, while on, keeps logged commits invisible and unanswered on the node, and so prolongs the interval between a
+// commit's log record and the end of its transaction. Replicas still replay the record.
 func (n *Node) HoldCommits(on bool) {
 	n.group.mu.Lock()
 	defer n.group.mu.Unlock()
-	n.holding = on
-	n.group.moved.Broadcast()
+	n.holdCommits = on
+	n.group.changed.Broadcast()
 }
 
-// OpenTransaction begins a transaction on the node that has written something and goes on until end is called. It
-// changes nothing that anybody reads.
+// OpenTransaction begins a writing transaction on the node that stays in progress until end is called. It changes no
+// data.
 func (n *Node) OpenTransaction() (end func()) {
-	xid := n.begin()
-	return func() { n.end(xid, position.Position{}) }
+	xid := n.beginTransaction()
+	return func() { n.endTransaction(xid, position.Position{}) }
 }
 
-// appliedBy counts the replicas that have replayed a place.
+// appliedBy counts the running replicas that have replayed the log up to a position.
 func (g *Group) appliedBy(at position.Position) (count int) {
 	for _, m := range g.nodes {
-		if !m.believes && m.running && m.branch.at(m.applied).Covers(at) {
+		if !m.actsAsPrimary && m.running && m.branch.position(m.applied).Covers(at) {
 			count++
 		}
 	}
 	return count
 }
 
-// apply is the single thread by which a replica replays the log. It ends with the node's run.
-func (n *Node) apply(run *run) {
+// replayLog is the goroutine in which a replica replays the log, one record at a time. It ends with the node's process.
+func (n *Node) replayLog(p *process) {
 	g := n.group
-	stop := func() bool { return run.ctx.Err() != nil }
-	defer run.done.Done()
+	stop := func() bool { return p.ctx.Err() != nil }
+	defer p.goroutines.Done()
 	for {
 		g.mu.Lock()
-		for !stop() && (n.believes || n.hung || n.paused || n.applied >= len(n.branch.records)) {
-			g.moved.Wait()
+		for !stop() && (n.actsAsPrimary || n.hung || n.replayPaused || n.applied >= len(n.branch.records)) {
+			g.changed.Wait()
 		}
 		if stop() {
 			g.mu.Unlock()
 			return
 		}
 		b, next := n.branch, n.branch.records[n.applied]
-		due := next.at.Add(n.cfg.Ship + n.cfg.Async)
-		cost := time.Duration(float64(n.cfg.Apply) * max(1, n.slowApply))
+		due := next.committedAt.Add(n.cfg.Ship + n.cfg.Async)
+		cost := time.Duration(float64(n.cfg.Apply) * max(1, n.replaySlowdown))
 		g.mu.Unlock()
-		pause(run.ctx, time.Until(due))
-		pause(run.ctx, cost/2) // one that is behind needs as long for each record
-		n.replayed(b, next, false)
-		pause(run.ctx, cost-cost/2)
-		n.replayed(b, next, true)
+		sleep(p.ctx, time.Until(due))
+		sleep(p.ctx, cost/2) // also when behind: catching up costs as much per record
+		n.advanceReplay(b, next, false)
+		sleep(p.ctx, cost-cost/2)
+		n.advanceReplay(b, next, true)
 	}
 }
 
-// replayed moves a replica beyond a record: first it shows, then the node's place moves.
-func (n *Node) replayed(b *branch, r record, whole bool) {
+// advanceReplay makes a record visible on a replica and, once its replay is finished, moves the replica's log position
+// past it.
+func (n *Node) advanceReplay(b *branch, r record, finished bool) {
 	g := n.group
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if n.branch != b || n.believes || n.applied >= len(b.records) || b.records[n.applied] != r {
+	if n.branch != b || n.actsAsPrimary || n.applied >= len(b.records) || b.records[n.applied] != r {
 		return
 	}
-	n.shown = n.applied + 1
-	if whole {
-		n.applied = n.shown
-		g.moved.Broadcast()
+	n.visible = n.applied + 1
+	if finished {
+		n.applied = n.visible
+		g.changed.Broadcast()
 	}
 }
 
-// unwritten takes from the log of a primary that crashes what has not reached its disk.
-func (n *Node) unwritten() {
-	if !n.believes || n.cfg.Async == 0 || n != n.group.primary {
+// discardUnflushed removes the records that a crashing primary had not flushed to disk.
+func (n *Node) discardUnflushed() {
+	if !n.actsAsPrimary || n.cfg.Async == 0 || n != n.group.primary {
 		return
 	}
 	b := n.branch
-	for k := len(b.records); k > 0 && time.Since(b.records[k-1].at) < n.cfg.Async; k-- {
+	for k := len(b.records); k > 0 && time.Since(b.records[k-1].committedAt) < n.cfg.Async; k-- {
 		key := b.records[k-1].key
 		b.records, b.byKey[key] = b.records[:k-1], b.byKey[key][:len(b.byKey[key])-1]
 	}
 	n.applied = len(b.records)
-	n.shown = n.applied
+	n.visible = n.applied
 }
 
-// received is the end of the log that a replica has, replayed or not.
-func (n *Node) received() uint64 {
+// receivedLSN returns the end of the log that a replica has received, replayed or not.
+func (n *Node) receivedLSN() uint64 {
 	at := n.applied
-	for at < len(n.branch.records) && time.Since(n.branch.records[at].at) >= n.cfg.Ship+n.cfg.Async {
+	for at < len(n.branch.records) && time.Since(n.branch.records[at].committedAt) >= n.cfg.Ship+n.cfg.Async {
 		at++
 	}
-	return n.branch.at(at).LSN
+	return n.branch.position(at).LSN
 }
 
-// snapshot is what pg_current_snapshot tells on the node: the lowest transaction that is not over, the first that has
-// not begun, and on a primary those between that run. A server in recovery does not list them.
-func (n *Node) snapshot() string {
-	if !n.believes {
-		next := n.over()
-		return fmt.Sprintf("%d:%d:", n.oldest(max(n.applied, n.shown), next), next)
+// currentSnapshot returns the node's pg_current_snapshot: the lowest transaction in progress, the first one not begun, and
+// on a primary the transactions in progress between them. A server in recovery does not list those.
+func (n *Node) currentSnapshot() string {
+	if !n.actsAsPrimary {
+		next := n.xidWatermark()
+		return fmt.Sprintf("%d:%d:", n.oldestRunning(max(n.applied, n.visible), next), next)
 	}
 	var running []string
 	for _, xid := range slices.Sorted(maps.Keys(n.active)) {
 		running = append(running, strconv.FormatUint(xid, 10))
 	}
-	return fmt.Sprintf("%d:%d:%s", n.over(), n.group.xid, strings.Join(running, ","))
+	return fmt.Sprintf("%d:%d:%s", n.xidWatermark(), n.group.nextXID, strings.Join(running, ","))
 }
 
-// oldest is the lowest transaction below next that runs as far as a replica knows that has replayed the first records:
-// its commit is further on in the log, or the primary has not come to it.
-func (n *Node) oldest(replayed int, next uint64) uint64 {
+// oldestRunning returns the lowest transaction id below next that is in progress as seen by a replica that has replayed
+// the given number of records: its commit is later in the log or not logged yet. It returns next if there is none.
+func (n *Node) oldestRunning(replayed int, next uint64) uint64 {
 	lowest := next
 	for _, r := range n.branch.records[replayed:] {
 		lowest = min(lowest, r.xid)
@@ -480,33 +482,35 @@
 	return lowest
 }
 
-// over is the transaction id below which all are over and shown on the node.
-func (n *Node) over() uint64 {
-	if !n.believes {
-		return n.branch.below(max(n.applied, n.shown))
+// xidWatermark returns, on a primary, the lowest transaction id in progress: all below it have ended and are visible. On
+// a replica it returns the lowest id above every transaction that is visible there.
+func (n *Node) xidWatermark() uint64 {
+	if !n.actsAsPrimary {
+		return n.branch.nextXID(max(n.applied, n.visible))
 	}
-	lowest := n.group.xid
+	lowest := n.group.nextXID
 	for xid := range n.active {
 		lowest = min(lowest, xid)
 	}
 	return lowest
 }
 
-// Pause stops a replica's replay between two records, as pg_wal_replay_pause does, or lets it go on.
+// Pause stops a replica's replay between two records, as pg_wal_replay_pause does, or resumes it.
 func (n *Node) Pause(on bool) {
 	n.group.mu.Lock()
 	defer n.group.mu.Unlock()
-	n.paused = on
-	n.group.moved.Broadcast()
+	n.replayPaused = on
+	n.group.changed.Broadcast()
 }
 
-// standbys tells who follows the node, as pg_stat_replication does: an address and a name each.
+// standbys returns the running nodes that follow this one, as in pg_stat_replication: an address and a name each,
+// separated by commas.
 func (n *Node) standbys() string {
 	n.group.mu.Lock()
 	defer n.group.mu.Unlock()
 	var all []string
 	for _, m := range n.group.nodes {
-		if n.believes && m != n && m.running && m.branch == n.branch {
+		if n.actsAsPrimary && m != n && m.running && m.branch == n.branch {
 			all = append(all, cmp.Or(m.cfg.From, "127.0.0.1")+" walreceiver")
 		}
 	}
--- a/standin/node.go
+++ b/standin/node.go
@@ -13,123 +13,125 @@
 	"umberladder/position"
 )
 
-// Config is how a node behaves when nothing is wrong.
+// Config is how a node behaves while no fault is injected.
 type Config struct {
-	Cores    int           // statements that run at once
-	Read     time.Duration // work of a read
-	Write    time.Duration // work of a write
-	Ship     time.Duration // until a replica has a record of the log
-	Apply    time.Duration // to replay one record
-	MaxConns int           // more connections are refused with 53300
-	ColdFrom float64       // share of its speed that it starts with
-	Ramp     time.Duration // until it is warm
-	Password string        // asked for by SCRAM-SHA-256; none if empty
-	Settle   time.Duration // from a commit's record in the log until the commit shows
-	// RemoteApply is how many replicas must have replayed a commit before it shows and is answered, as with
-	// synchronous_commit = remote_apply.
+	Cores    int           // statements that run concurrently; at least 1
+	Read     time.Duration // core time of a read
+	Write    time.Duration // core time of a write
+	Ship     time.Duration // delay until a replica has received a log record
+	Apply    time.Duration // replay time of one record
+	MaxConns int           // further connections are refused with SQLSTATE 53300; 0 for no limit
+	ColdFrom float64       // share of full speed after a cold start, above 0 up to 1
+	Ramp     time.Duration // time from a cold start to full speed, which rises linearly
+	Password string        // checked by SCRAM-SHA-256; none if empty
+	Settle   time.Duration // delay from a commit's log record until the commit is visible
+	// RemoteApply is the number of replicas that must have replayed a commit before it is visible on the primary and
+	// answered, as with synchronous_commit = remote_apply.
 	RemoteApply int
-	// Async is how long a commit's record takes to reach the disk, and so the replicas, though the commit shows and is
-	// answered at once, as with synchronous_commit off. A crash loses what has not.
+	// Async is the delay until a commit's record is flushed to disk and can be shipped to the replicas, while the commit
+	// is visible and answered immediately, as with synchronous_commit off. A crash loses records not yet flushed.
 	Async      time.Duration
-	Repeatable bool          // transactions are repeatable read by default: a snapshot for each, not each statement
-	ReadMost   time.Duration // reads take between Read and this, evenly by the logarithm; 0 for Read
-	Spread     float64       // of the logarithm of work, which is lognormal with Read and Write for its means; 0 for none
-	Tail       float64       // index of a Pareto tail, above 1, in place of Spread; 0 for none
-	Greet      time.Duration // what opening a connection takes, one at a time
-	From       string        // the address that its primary sees it at; 127.0.0.1 if empty
-	Params     bool          // facts are told by parameters too, as with an extension
+	Repeatable bool          // transactions are repeatable read by default: one snapshot per transaction, not per statement
+	ReadMost   time.Duration // reads take from Read to this, log-uniformly distributed; 0 for Read
+	Spread     float64       // standard deviation of the logarithm of core times, which are lognormal with means Read and Write; 0 for constant times
+	Tail       float64       // shape of a Pareto distribution of core times, above 1, in place of the lognormal one; 0 for none
+	Greet      time.Duration // time to open a connection; connections are opened one at a time
+	From       string        // host address of the node in its primary's pg_stat_replication; 127.0.0.1 if empty
+	Params     bool          // the node also reports its facts by ParameterStatus, as with an extension
 }
 
-// Node is one db node.
+// Node is one simulated PostgreSQL node. An injected fault lasts until another call ends it.
 type Node struct {
 	Name  string
 	Hall  string
 	group *Group
 	cfg   Config
 	addr  string
-	slots chan struct{}
+	cores chan struct{}
 
 	// Under the group's lock.
-	branch    *branch
-	applied   int
-	shown     int             // records that statements see: one more than applied while that one is being replayed
-	hidden    map[uint64]bool // by LSN: logged here and not visible yet
-	active    map[uint64]bool // transactions that are not over here
-	paused    bool            // its replay is
-	holding   bool            // logged commits do not show until it ends
-	believes  bool            // it takes itself for the primary
-	cluster   uint64          // that it is of, 0 for the group's
-	running   bool
-	hung      bool
-	slowApply float64
-
-	mu       sync.Mutex
-	run      *run
-	changed  *sync.Cond
-	refusing string // SQLSTATE for whoever connects or asks; "" for none
-	stalled  time.Time
-	slow     float64       // work takes so many times as long
-	cold     time.Time     // since when it has been warming; zero for warm
-	cut      int           // bytes of answers until a connection is cut; 0 for never
-	greeting time.Duration // what opening a connection takes
-	greeted  time.Time     // when the last of those that came will have been, with Config.Greet
-	jumped   time.Duration // of its clock
-	old      time.Duration // reads show data as of so long ago: a fault on purpose
-	cap      int           // connections taken, in place of the configuration's; 0 for that
-	reap     time.Duration // a connection unused for longer is dropped unseen; 0 for never
-	link     Link
-	nextConn uint64
-	conns    map[uint64]*session
-}
-
-// Link tells what the way between a driver and a node does to what is sent on it: the delay each way, and the
-// share that is lost. A connection on which something was lost is silent from then on.
+	branch         *branch
+	applied        int
+	visible        int             // records that statements see: one more than applied while a record is being replayed
+	hidden         map[uint64]bool // by LSN: logged here but not yet visible
+	active         map[uint64]bool // transactions in progress on this node
+	replayPaused   bool
+	holdCommits    bool   // keep logged commits invisible
+	actsAsPrimary  bool   // whether or not it is its group's primary
+	systemID       uint64 // system identifier of its cluster; 0 for defaultSystemID
+	running        bool
+	hung           bool
+	replaySlowdown float64
+
+	mu              sync.Mutex
+	process         *process
+	changed         *sync.Cond
+	refusalCode     string // SQLSTATE sent for each connection and statement; "" for none
+	stalledUntil    time.Time
+	slowdown        float64       // factor on core times; below 1 counts as 1
+	coldSince       time.Time     // time of the last cold start; zero if started warm
+	disconnectAfter int           // bytes sent on a connection before it is closed; 0 for no limit
+	connectDelay    time.Duration // extra time to open a connection
+	connectQueueEnd time.Time     // when all accepted connections will have been opened, one after the other
+	clockOffset     time.Duration // of the node's clock
+	readAge         time.Duration // reads show data as of this long ago; 0 for current data
+	cap             int           // connection limit in place of Config.MaxConns; 0 for none
+	idleLimit       time.Duration // idle time after which a connection is silently lost; 0 for never
+	link            Link
+	lastConnID      uint64
+	conns           map[uint64]*session
+}
+
+// Link simulates the network between a driver, given by its user name, and a node: it returns the one-way delay of a
+// message, and the probability, from 0 to 1, that the message is lost. The node receives nothing more on a connection
+// that lost a message.
 type Link func(driver string) (delay time.Duration, lost float64)
 
-// run is one life of a node's process.
-type run struct {
-	ctx      context.Context
-	end      context.CancelFunc
-	listener net.Listener
-	done     sync.WaitGroup
+// process is a node's process from one start to its end.
+type process struct {
+	ctx        context.Context
+	cancel     context.CancelFunc
+	listener   net.Listener
+	goroutines sync.WaitGroup
 }
 
-// AddNode adds a member and starts it, warm. The first is the primary.
-func (g *Group) AddNode(name, hall string, cfg Config) (*Node, error) {
-	n := newNode(g, name, hall, cfg)
+// AddNode adds a member with the whole log and starts it warm, listening on a free loopback port. The group's first
+// member is the primary. An error means that the node could not listen.
+func (g *Group) AddNode(name, zone string, cfg Config) (*Node, error) {
+	n := newNode(g, name, zone, cfg)
 	g.mu.Lock()
 	n.branch = g.branch
 	n.applied = len(g.branch.records)
-	n.shown = n.applied
+	n.visible = n.applied
 	if g.primary == nil {
-		g.primary, n.believes = n, true
+		g.primary, n.actsAsPrimary = n, true
 	}
 	g.nodes = append(g.nodes, n)
 	g.mu.Unlock()
 	return n, n.start()
 }
 
-func newNode(g *Group, name, hall string, cfg Config) *Node {
-	n := &Node{Name: name, Hall: hall, group: g, cfg: cfg, slots: make(chan struct{}, max(1, cfg.Cores)),
+func newNode(g *Group, name, zone string, cfg Config) *Node {
+	n := &Node{Name: name, Hall: zone, group: g, cfg: cfg, cores: make(chan struct{}, max(1, cfg.Cores)),
 		conns: map[uint64]*session{}, addr: "127.0.0.1:0"}
 	n.changed = sync.NewCond(&n.mu)
 	return n
 }
 
-// Addr is where the node listens; it stays the same over restarts.
+// Addr returns the node's listen address, host:port; it is the same after a restart.
 func (n *Node) Addr() string { return n.addr }
 
-// Group is the slice that the node belongs to.
+// Group returns the slice that the node belongs to.
 func (n *Node) Group() *Group { return n.group }
 
-// Running tells whether the node's process runs.
+// Running reports whether the node's process is running.
 func (n *Node) Running() bool {
 	n.group.mu.Lock()
 	defer n.group.mu.Unlock()
 	return n.running
 }
 
-// Capacity is how many reads a second a warm node can do.
+// Capacity returns the reads per second that a warm node can run.
 func (c *Config) Capacity() float64 { return float64(c.Cores) / c.Read.Seconds() }
 
 func (n *Node) start() error {
@@ -138,64 +140,64 @@
 		return fmt.Errorf("stand-in %s: %w", n.Name, err)
 	}
 	n.addr = l.Addr().String()
-	r := &run{listener: l}
-	r.ctx, r.end = context.WithCancel(context.Background())
+	p := &process{listener: l}
+	p.ctx, p.cancel = context.WithCancel(context.Background())
 	n.mu.Lock()
-	n.run = r
+	n.process = p
 	n.mu.Unlock()
 	n.group.mu.Lock()
 	n.running, n.hung = true, false
 	n.group.mu.Unlock()
-	r.done.Add(2)
-	go n.apply(r)
-	go n.accept(r)
+	p.goroutines.Add(2)
+	go n.replayLog(p)
+	go n.accept(p)
 	return nil
 }
 
-func (n *Node) accept(r *run) {
-	defer r.done.Done()
+func (n *Node) accept(p *process) {
+	defer p.goroutines.Done()
 	for {
-		nc, err := r.listener.Accept()
+		nc, err := p.listener.Accept()
 		if err != nil {
 			return
 		}
 		n.mu.Lock()
-		n.nextConn++
-		s := &session{node: n, nc: nc, run: r, id: n.nextConn, secret: uint32(n.nextConn*2654435761) | 1}
+		n.lastConnID++
+		s := &session{node: n, nc: nc, process: p, id: n.lastConnID, cancelKey: uint32(n.lastConnID*2654435761) | 1}
 		n.conns[s.id] = s
 		n.mu.Unlock()
-		if r.ctx.Err() != nil {
-			nc.Close() // it came while the process ended
+		if p.ctx.Err() != nil {
+			nc.Close() // accepted while the process was ending
 		}
-		n.group.trace.connected(n.Name, 1)
-		r.done.Add(1)
+		n.group.trace.recordConns(n.Name, 1)
+		p.goroutines.Add(1)
 		go func() {
-			defer r.done.Done()
+			defer p.goroutines.Done()
 			s.serve()
 			n.mu.Lock()
 			delete(n.conns, s.id)
 			n.mu.Unlock()
-			n.group.trace.connected(n.Name, -1)
+			n.group.trace.recordConns(n.Name, -1)
 		}()
 	}
 }
 
-// Die ends the node's process at once: connections break, its place in the log stays. It returns when all of
-// it is over.
+// Die crashes the node's process: its connections are closed and its log position stays, but a primary loses the
+// records that it had not flushed to disk. It returns when all goroutines of the process have ended.
 func (n *Node) Die() {
 	n.group.mu.Lock()
 	n.running = false
-	n.unwritten()
+	n.discardUnflushed()
 	n.group.mu.Unlock()
 	n.mu.Lock()
-	r := n.run
-	n.run = nil
+	p := n.process
+	n.process = nil
 	n.mu.Unlock()
-	if r == nil {
+	if p == nil {
 		return
 	}
-	r.end()
-	r.listener.Close()
+	p.cancel()
+	p.listener.Close()
 	n.mu.Lock()
 	for _, s := range n.conns {
 		s.nc.Close()
@@ -203,179 +205,185 @@
 	n.changed.Broadcast()
 	n.mu.Unlock()
 	n.group.mu.Lock()
-	n.group.moved.Broadcast()
+	n.group.changed.Broadcast()
 	n.group.mu.Unlock()
-	r.done.Wait()
+	p.goroutines.Wait()
 }
 
-// Restart starts the node again after Die, cold, as a replica if its slice has another primary by now.
+// Restart starts the node after a crash: cold, and as a replica if its slice has another primary now. It ends injected
+// faults except those of replay, reads, held commits, links and the clock. An error means that the node could not listen
+// on its address.
 func (n *Node) Restart() error {
 	g := n.group
 	g.mu.Lock()
-	n.believes = g.primary == n
-	if !n.believes {
+	n.actsAsPrimary = g.primary == n
+	if !n.actsAsPrimary {
 		n.follow(g.branch)
 	}
-	n.hidden, n.active, n.shown = nil, nil, n.applied // recovery ends or shows what was in the log
+	n.hidden, n.active, n.visible = nil, nil, n.applied // after recovery, every commit in the log is visible
 	g.mu.Unlock()
 	n.mu.Lock()
-	n.cold, n.refusing, n.stalled, n.slow, n.cut, n.reap, n.greeting, n.cap = time.Now(), "", time.Time{}, 0, 0, 0, 0, 0
-	at := n.cold
+	n.coldSince, n.refusalCode, n.stalledUntil, n.slowdown, n.disconnectAfter, n.idleLimit, n.connectDelay, n.cap = time.Now(), "", time.Time{}, 0, 0, 0, 0, 0
+	at := n.coldSince
 	n.mu.Unlock()
 	if err := n.start(); err != nil {
 		return err
 	}
-	g.trace.started(Start{Node: n.Name, At: at, Cold: true})
+	g.trace.recordStart(Start{Node: n.Name, At: at, Cold: true})
 	return nil
 }
 
-// Hang makes the node accept everything and answer nothing, until told otherwise.
+// Hang makes the node, while on, accept connections and statements without answering them, and stop replay.
 func (n *Node) Hang(on bool) {
 	n.group.mu.Lock()
 	n.hung = on
-	n.group.moved.Broadcast()
+	n.group.changed.Broadcast()
 	n.group.mu.Unlock()
 	n.mu.Lock()
 	n.changed.Broadcast()
 	n.mu.Unlock()
 }
 
-// Stall makes the node stand still for a while.
+// Stall makes the node answer nothing for d.
 func (n *Node) Stall(d time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.stalled = time.Now().Add(d)
+	n.stalledUntil = time.Now().Add(d)
 }
 
-// Slow makes work take so many times as long; 1 ends that.
+// Slow multiplies the core time of statements; 1 ends the fault.
 func (n *Node) Slow(times float64) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.slow = times
+	n.slowdown = times
 }
 
-// Lag makes replaying the log take so many times as long; 1 ends that.
+// Lag multiplies the replay time of each record; 1 ends the fault.
 func (n *Node) Lag(times float64) {
 	n.group.mu.Lock()
 	defer n.group.mu.Unlock()
-	n.slowApply = times
+	n.replaySlowdown = times
 }
 
-// Refuse makes the node turn connections and statements away with a SQLSTATE; "" ends that.
+// Refuse makes the node refuse connections and statements with a SQLSTATE; "" ends the fault. A code that begins with
+// 57P0, except 57P03, also ends the session.
 func (n *Node) Refuse(sqlstate string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.refusing = sqlstate
+	n.refusalCode = sqlstate
 }
 
-// CutAfter makes each connection break off in the middle of its answers after so many more bytes; 0 ends that.
+// CutAfter makes the node close each connection after it has sent that many bytes on it, even within a message; 0 ends
+// the fault.
 func (n *Node) CutAfter(bytes int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.cut = bytes
+	n.disconnectAfter = bytes
 }
 
-// Greet makes opening a connection take so long; 0 ends that.
+// Greet adds d to the time that opening a connection takes; 0 ends the fault.
 func (n *Node) Greet(d time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.greeting = d
+	n.connectDelay = d
 }
 
-// greets is how long a connection that came now waits for the node's part in opening it, and those before it.
-func (n *Node) greets() time.Duration {
+// connectWait reserves the time to open a new connection after those that are being opened, and returns the wait until
+// it is open.
+func (n *Node) connectWait() time.Duration {
 	if n.cfg.Greet == 0 {
 		return 0
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	now := time.Now()
-	if n.greeted.Before(now) {
-		n.greeted = now
+	if n.connectQueueEnd.Before(now) {
+		n.connectQueueEnd = now
 	}
-	n.greeted = n.greeted.Add(n.cfg.Greet)
-	return n.greeted.Sub(now)
+	n.connectQueueEnd = n.connectQueueEnd.Add(n.cfg.Greet)
+	return n.connectQueueEnd.Sub(now)
 }
 
-// Cap makes the node take no more than so many connections; 0 ends that.
+// Cap limits the node's connections; 0 restores the configured limit.
 func (n *Node) Cap(conns int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.cap = conns
 }
 
-// Reap makes connections unused for longer than idle drop unseen: what comes on one is never answered. 0 ends
-// that for connections that were not dropped yet.
+// Reap silently loses connections idle for longer than the given time: a message on a lost connection is never answered.
+// 0 ends the fault for connections that are not lost yet.
 func (n *Node) Reap(idle time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.reap = idle
+	n.idleLimit = idle
 }
 
-// Old makes the node answer reads from data as of so long ago, while it says that it stands where it does: a fault put
-// in on purpose, for those who judge. 0 ends that.
+// Old makes the node answer reads from data as old as age while it reports its current log position: a planted fault that
+// a judge of the trace must find. 0 ends the fault.
 func (n *Node) Old(age time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.old = age
+	n.readAge = age
 }
 
-func (n *Node) age() time.Duration {
+func (n *Node) staleness() time.Duration {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.old
+	return n.readAge
 }
 
-// before is how many records, of the first ones, are as old as that or older.
-func (b *branch) before(shown int, age time.Duration) int {
+// recordsOlderThan returns how many of the first records are at least as old as age.
+func (b *branch) recordsOlderThan(visible int, age time.Duration) int {
 	if age == 0 {
-		return shown
+		return visible
 	}
 	when := time.Now().Add(-age)
-	return min(shown, sort.Search(len(b.records), func(i int) bool { return b.records[i].at.After(when) }))
+	return min(visible, sort.Search(len(b.records), func(i int) bool { return b.records[i].committedAt.After(when) }))
 }
 
-// Through puts a link between the node and its drivers; nil takes it away.
+// Through sets the simulated link between the node and its drivers; nil removes it.
 func (n *Node) Through(l Link) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.link = l
 }
 
-// AddColdNode adds a member that starts now, cold, from a copy of the log that lacks the newest records.
-func (g *Group) AddColdNode(name, hall string, cfg Config, behind int) (*Node, error) {
-	n := newNode(g, name, hall, cfg)
+// AddColdNode adds a member and starts it cold, as a replica whose copy of the log lacks the newest behind records. An
+// error means that the node could not listen.
+func (g *Group) AddColdNode(name, zone string, cfg Config, behind int) (*Node, error) {
+	n := newNode(g, name, zone, cfg)
 	g.mu.Lock()
 	n.branch = g.branch
 	n.applied = max(0, len(g.branch.records)-behind)
-	n.shown = n.applied
+	n.visible = n.applied
 	g.nodes = append(g.nodes, n)
 	g.mu.Unlock()
-	n.cold = time.Now()
-	g.trace.started(Start{Node: name, At: n.cold, Cold: true})
+	n.coldSince = time.Now()
+	g.trace.recordStart(Start{Node: name, At: n.coldSince, Cold: true})
 	return n, n.start()
 }
 
-// Close ends the group's nodes.
+// Close ends the processes of the group's nodes and returns when all of them have ended.
 func (g *Group) Close() {
 	for _, n := range g.Nodes() {
 		n.Die()
 	}
 }
 
-// gate holds whoever wants to work while the node hangs or stands still; false once the process is over.
-func (n *Node) gate(r *run) bool {
-	for r.ctx.Err() == nil {
+// waitResponsive blocks while the node hangs or is stalled. It returns false if the process has ended.
+func (n *Node) waitResponsive(p *process) bool {
+	for p.ctx.Err() == nil {
 		n.mu.Lock()
-		for n.isHung() && r.ctx.Err() == nil {
+		for n.isHung() && p.ctx.Err() == nil {
 			n.changed.Wait()
 		}
-		left := time.Until(n.stalled)
+		left := time.Until(n.stalledUntil)
 		n.mu.Unlock()
 		if left <= 0 {
-			return r.ctx.Err() == nil
+			return p.ctx.Err() == nil
 		}
-		pause(r.ctx, left)
+		sleep(p.ctx, left)
 	}
 	return false
 }
@@ -386,43 +394,45 @@
 	return n.hung
 }
 
-// work holds a core for the time that a statement takes at the node's present speed.
-func (n *Node) work(r *run, cost time.Duration) bool {
-	if !n.hold(r) {
+// useCore occupies a core for a statement's core time at the node's current speed. It returns false if the process has
+// ended.
+func (n *Node) useCore(p *process, cost time.Duration) bool {
+	if !n.acquireCore(p) {
 		return false
 	}
-	defer n.free()
-	return n.toil(r, cost)
+	defer n.releaseCore()
+	return n.spendOnCore(p, cost)
 }
 
-// hold waits for a core.
-func (n *Node) hold(r *run) bool {
+// acquireCore waits for a free core. It returns false if the process has ended.
+func (n *Node) acquireCore(p *process) bool {
 	select {
-	case n.slots <- struct{}{}:
+	case n.cores <- struct{}{}:
 		return true
-	case <-r.ctx.Done():
+	case <-p.ctx.Done():
 		return false
 	}
 }
 
-func (n *Node) free() { <-n.slots }
+func (n *Node) releaseCore() { <-n.cores }
 
-// toil spends the time of some work on a core that is held.
-func (n *Node) toil(r *run, cost time.Duration) bool {
-	pause(r.ctx, time.Duration(float64(cost)*n.slowness()))
-	return n.gate(r)
+// spendOnCore waits for a statement's core time at the node's current speed, on a core that the caller has acquired. It
+// returns false if the process has ended.
+func (n *Node) spendOnCore(p *process, cost time.Duration) bool {
+	sleep(p.ctx, time.Duration(float64(cost)*n.costFactor()))
+	return n.waitResponsive(p)
 }
 
-// readCost is the work of one read.
+// readCost draws the core time of one read.
 func (c *Config) readCost() time.Duration {
 	if c.ReadMost <= c.Read {
-		return c.drawn(c.Read)
+		return c.drawCost(c.Read)
 	}
 	return time.Duration(float64(c.Read) * math.Pow(float64(c.ReadMost)/float64(c.Read), rand.Float64()))
 }
 
-// drawn is the work of one statement, given its mean.
-func (c *Config) drawn(mean time.Duration) time.Duration {
+// drawCost draws the core time of one statement with the given mean.
+func (c *Config) drawCost(mean time.Duration) time.Duration {
 	switch {
 	case c.Tail > 1:
 		return time.Duration(float64(mean) * min((c.Tail-1)/c.Tail*math.Pow(1-rand.Float64(), -1/c.Tail), 1000))
@@ -432,18 +442,18 @@
 	return mean
 }
 
-// slowness is how many times as long as usual work takes now.
-func (n *Node) slowness() float64 {
+// costFactor returns the current factor on core times, from Slow and from warm-up.
+func (n *Node) costFactor() float64 {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	f := max(1, n.slow)
-	if age := time.Since(n.cold); !n.cold.IsZero() && age < n.cfg.Ramp {
+	f := max(1, n.slowdown)
+	if age := time.Since(n.coldSince); !n.coldSince.IsZero() && age < n.cfg.Ramp {
 		f /= n.cfg.ColdFrom + (1-n.cfg.ColdFrom)*age.Seconds()/n.cfg.Ramp.Seconds()
 	}
 	return f
 }
 
-func pause(ctx context.Context, d time.Duration) {
+func sleep(ctx context.Context, d time.Duration) {
 	if d <= 0 {
 		return
 	}
@@ -455,9 +465,9 @@
 	}
 }
 
-// Stands is where the node stands in the log.
+// Stands returns the position up to which the node has replayed the log.
 func (n *Node) Stands() position.Position {
 	n.group.mu.Lock()
 	defer n.group.mu.Unlock()
-	return n.branch.at(n.applied)
+	return n.branch.position(n.applied)
 }
--- a/standin/pgx_test.go
+++ b/standin/pgx_test.go
@@ -40,7 +40,7 @@
 	return c
 }
 
-// TestPgxAsClient shows that a client of PostgreSQL that we did not write works against the stand-ins.
+// TestPgxAsClient checks that pgx, an independent PostgreSQL client, works against the simulated nodes.
 func TestPgxAsClient(t *testing.T) {
 	before := goleak.IgnoreCurrent()
 	t.Cleanup(func() { goleak.VerifyNone(t, before) })
@@ -94,7 +94,7 @@
 	return value
 }
 
-// TestLagAndPromotion shows a replica that lags, and a promotion that loses what it had not applied.
+// TestLagAndPromotion: a lagging replica shows old data, and its promotion loses the commits it had not replayed.
 func TestLagAndPromotion(t *testing.T) {
 	g, _ := newGroup(t, testConfig(), 3)
 	nodes := g.Nodes()
@@ -113,7 +113,7 @@
 	nodes[2].Lag(1e6)
 	write(p, "two")
 	if v := read(t, r, "a"); v != "one" {
-		t.Errorf("a replica that lags has %q", v)
+		t.Errorf("the lagging replica has %q", v)
 	}
 	g.Promote(nodes[1])
 	if v := read(t, r, "a"); v != "one" {
@@ -125,7 +125,7 @@
 	}
 	commits := g.Commits()
 	if len(commits) != 3 || g.Survives(commits[1].Position, 2) || !g.Survives(commits[0].Position, 2) {
-		t.Errorf("what survives is wrong: %+v", commits)
+		t.Errorf("wrong commits survive on timeline 2: %+v", commits)
 	}
 	nodes[0].Die()
 	if err := nodes[0].Restart(); err != nil {
--- a/standin/session.go
+++ b/standin/session.go
@@ -11,45 +11,45 @@
 	"umberladder/pgwire"
 )
 
-// session is one connection that a node serves.
+// session is one connection to a node.
 type session struct {
-	node   *Node
-	run    *run
-	nc     net.Conn
-	id     uint64
-	ending string // the SQLSTATE with which it ends, "" for none
-	secret uint32
-	user   string
-
-	reader     *pgwire.Reader
-	out        []byte
-	sent       int
-	statements map[string]pgwire.ParseMsg
-	portals    map[string]portal
-	failed     bool // an error came: all up to Sync is void
-	tx         byte
-	repeatable bool       // transactions are repeatable read unless they say otherwise
-	snap       *snapshot  // of the transaction, where it is repeatable read
-	running    *Statement // what is being run or was last
-	told       string     // the position last told by parameter
-
-	heard time.Time // when the last message came
-	deaf  bool      // it was lost unseen
-	due   time.Time // when the link lets the last through
-
-	current *Statement // what arrived last, under the trace's lock: cancel requests hit it
+	node      *Node
+	process   *process
+	nc        net.Conn
+	id        uint64
+	endCode   string // SQLSTATE of the fatal error that ended the session; "" for none
+	cancelKey uint32
+	user      string
+
+	reader         *pgwire.Reader
+	out            []byte // not yet sent
+	sent           int    // bytes sent
+	statements     map[string]pgwire.ParseMsg
+	portals        map[string]portal
+	failed         bool // after an error: messages up to Sync are ignored
+	txStatus       byte
+	repeatableRead bool       // transactions are repeatable read by default
+	snap           *snapshot  // of the transaction if it is repeatable read
+	executing      *Statement // the statement being run or run last, facts and guards excepted
+	reportedFacts  string     // facts last reported by ParameterStatus
+
+	lastReceived time.Time // time of the last received message
+	lost         bool      // the connection was silently lost
+	deliverAt    time.Time // when the link delivers the last message
+
+	lastArrived *Statement // last statement received, facts and guards excepted, to which a cancel request applies; under the trace's lock
 }
 
-// queued is one message with when it arrived. A node that hangs has received it all the same.
-type queued struct {
-	typ  byte
-	body []byte
-	st   *Statement // for what runs a statement
-	due  time.Time  // when a slow link lets it through
+// queuedMessage is one message that was received and waits to be handled; a hung node receives messages too.
+type queuedMessage struct {
+	typ       byte
+	body      []byte
+	st        *Statement // of a message that runs a statement, else nil
+	deliverAt time.Time  // when the link delivers it
 }
 
-// receive reads messages as they arrive, whatever the node is doing, and notes the statements among them.
-func (s *session) receive(queue chan<- queued) {
+// receive queues messages as they arrive, even while the node hangs, and records the statements among them.
+func (s *session) receive(queue chan<- queuedMessage) {
 	defer close(queue)
 	statements, portals := map[string]pgwire.ParseMsg{}, map[string]portal{}
 	for {
@@ -57,7 +57,7 @@
 		if err != nil || typ == pgwire.MsgTerminate {
 			return
 		}
-		m := queued{typ: typ, body: append([]byte(nil), body...)}
+		m := queuedMessage{typ: typ, body: append([]byte(nil), body...)}
 		switch typ {
 		case pgwire.MsgParse:
 			if p, err := pgwire.ParseParse(m.body); err == nil {
@@ -65,51 +65,52 @@
 			}
 		case pgwire.MsgBind:
 			if b, err := pgwire.ParseBind(m.body); err == nil {
-				portals[b.Portal] = portalOf(statements[b.Statement], b)
+				portals[b.Portal] = bindPortal(statements[b.Statement], b)
 			}
 		case pgwire.MsgExecute:
 			if e, err := pgwire.ParseExecute(m.body); err == nil {
-				m.st = s.arrived(portals[e.Portal])
+				m.st = s.recordArrival(portals[e.Portal])
 			}
 		case pgwire.MsgQuery:
 			if sql, err := pgwire.ParseString(typ, m.body); err == nil {
-				m.st = s.arrived(portal{sql: sql})
+				m.st = s.recordArrival(portal{sql: sql})
 			}
 		}
-		if !s.dropped() { // else as if it had been lost on the way
-			m.due = s.due
+		if !s.updateLink() { // a message on a lost connection is discarded
+			m.deliverAt = s.deliverAt
 			queue <- m
 		}
 	}
 }
 
-// dropped tells whether the connection was lost unseen, and sets when the link lets through what came.
-func (s *session) dropped() bool {
+// updateLink applies idle loss and the simulated link to a message just received. It sets the message's delivery time and
+// reports whether the connection is lost.
+func (s *session) updateLink() bool {
 	n := s.node
 	n.mu.Lock()
-	reap, link := n.reap, n.link
+	idleLimit, link := n.idleLimit, n.link
 	n.mu.Unlock()
 	now := time.Now()
-	if reap > 0 && !s.heard.IsZero() && now.Sub(s.heard) > reap {
-		s.deaf = true
+	if idleLimit > 0 && !s.lastReceived.IsZero() && now.Sub(s.lastReceived) > idleLimit {
+		s.lost = true
 	}
-	if idle := now.Sub(s.heard); link != nil && !s.deaf && idle > time.Millisecond {
-		delay, lost := link(s.user) // once for what comes together
-		s.deaf = rand.Float64() < lost
-		s.due = now.Add(delay)
+	if idle := now.Sub(s.lastReceived); link != nil && !s.lost && idle > time.Millisecond {
+		delay, loss := link(s.user) // drawn once for messages that arrive together
+		s.lost = rand.Float64() < loss
+		s.deliverAt = now.Add(delay)
 	}
-	s.heard = time.Now()
-	return s.deaf
+	s.lastReceived = time.Now()
+	return s.lost
 }
 
-func (s *session) arrived(p portal) *Statement {
+func (s *session) recordArrival(p portal) *Statement {
 	st := &Statement{Node: s.node.Name, Driver: s.user, Conn: s.id, Kind: KindOther, Key: p.arg(0), Tag: p.arg(1)}
 	if f := formOf(p.sql); f != nil {
 		st.Kind = f.kind
 	}
-	s.node.group.trace.arrived(st)
+	s.node.group.trace.recordArrival(st)
 	if st.Kind != KindFacts && st.Kind != KindGuard {
-		s.note(st, func(st *Statement) { s.current = st })
+		s.updateStatement(st, func(st *Statement) { s.lastArrived = st })
 	}
 	return st
 }
@@ -120,52 +121,52 @@
 	formats []int
 }
 
-// cutError ends a session whose connection was to be cut.
-type cutError struct{}
+// disconnectError ends a session whose connection is closed on purpose.
+type disconnectError struct{}
 
-func (cutError) Error() string { return "cut" }
+func (disconnectError) Error() string { return "cut" }
 
 func (s *session) serve() {
 	defer s.nc.Close()
-	defer s.finish()
+	defer s.endExecuting()
 	s.reader = pgwire.NewReader(s.nc, 1<<20)
-	s.statements, s.portals, s.tx = map[string]pgwire.ParseMsg{}, map[string]portal{}, pgwire.TxIdle
+	s.statements, s.portals, s.txStatus = map[string]pgwire.ParseMsg{}, map[string]portal{}, pgwire.TxIdle
 	if !s.startup() || s.flush() != nil {
 		return
 	}
-	queue := make(chan queued, 256)
-	s.run.done.Add(1)
+	queue := make(chan queuedMessage, 256)
+	s.process.goroutines.Add(1)
 	go func() {
-		defer s.run.done.Done()
+		defer s.process.goroutines.Done()
 		s.receive(queue)
 	}()
 	defer func() {
 		s.nc.Close()
 		for m := range queue {
-			if s.unrun(m.st); m.st != nil && s.ending != "" {
-				s.note(m.st, func(st *Statement) { st.Code = s.ending }) // its client was told before that nothing more runs
+			if s.markNotRun(m.st); m.st != nil && s.endCode != "" {
+				s.updateStatement(m.st, func(st *Statement) { st.Code = s.endCode }) // the client learned from the fatal error that nothing more runs
 			}
 		}
 	}()
 	for m := range queue {
-		pause(s.run.ctx, time.Until(m.due))
-		if s.message(m) != nil {
+		sleep(s.process.ctx, time.Until(m.deliverAt))
+		if s.handleMessage(m) != nil {
 			return
 		}
 	}
 }
 
-// unrun notes that a statement will never run: its session is over.
-func (s *session) unrun(st *Statement) {
+// markNotRun records the end of a statement that was received but will never run.
+func (s *session) markNotRun(st *Statement) {
 	if st != nil {
-		s.note(st, func(st *Statement) { st.Ended = time.Now() })
+		s.updateStatement(st, func(st *Statement) { st.Ended = time.Now() })
 	}
 }
 
-// finish notes that what was running has nobody left to answer.
-func (s *session) finish() {
-	if c := s.running; c != nil {
-		s.node.group.trace.change(c, func(c *Statement) {
+// endExecuting records the end of the last run statement: it was answered, or its session has ended.
+func (s *session) endExecuting() {
+	if c := s.executing; c != nil {
+		s.node.group.trace.update(c, func(c *Statement) {
 			if c.Ended.IsZero() {
 				c.Ended = time.Now()
 			}
@@ -190,30 +191,30 @@
 				return false
 			}
 		case st.Cancel != nil:
-			n.canceled(st.Cancel)
+			n.recordCancel(st.Cancel)
 			return false
 		default:
 			params = st.Params
 		}
 	}
 	s.user = params["user"]
-	level, told := params["default_transaction_isolation"]
-	s.repeatable = told && level != "read committed" || !told && n.cfg.Repeatable
-	if !n.gate(s.run) {
+	level, isSet := params["default_transaction_isolation"]
+	s.repeatableRead = isSet && level != "read committed" || !isSet && n.cfg.Repeatable
+	if !n.waitResponsive(s.process) {
 		return false
 	}
 	n.mu.Lock()
-	refusing, conns, most, greeting := n.refusing, len(n.conns), n.cfg.MaxConns, n.greeting
+	code, conns, maxConns, delay := n.refusalCode, len(n.conns), n.cfg.MaxConns, n.connectDelay
 	if n.cap > 0 {
-		most = n.cap
+		maxConns = n.cap
 	}
 	n.mu.Unlock()
-	pause(s.run.ctx, greeting+n.greets())
-	if most > 0 && conns > most {
-		refusing = "53300"
+	sleep(s.process.ctx, delay+n.connectWait())
+	if maxConns > 0 && conns > maxConns {
+		code = "53300"
 	}
-	if refusing != "" {
-		s.fatal(refusing, "not accepting connections")
+	if code != "" {
+		s.sendFatal(code, "not accepting connections")
 		return false
 	}
 	if n.cfg.Password != "" && !s.authenticate() {
@@ -224,13 +225,13 @@
 		{"standard_conforming_strings", "on"}, {"integer_datetimes", "on"}} {
 		s.out = pgwire.AppendParameterStatus(s.out, p[0], p[1])
 	}
-	s.out = pgwire.AppendBackendKeyData(s.out, uint32(s.id), s.secret)
-	s.ready()
+	s.out = pgwire.AppendBackendKeyData(s.out, uint32(s.id), s.cancelKey)
+	s.appendReady()
 	return true
 }
 
-func (s *session) fatal(code, text string) {
-	s.ending = code
+func (s *session) sendFatal(code, text string) {
+	s.endCode = code
 	s.out = pgwire.AppendErrorResponse(s.out, &pgwire.Error{Severity: "FATAL", Code: code, Message: text})
 	s.flush()
 }
@@ -258,7 +259,7 @@
 		}
 		answer, done, err := v.Step(data)
 		if err != nil {
-			s.fatal("28P01", "password authentication failed")
+			s.sendFatal("28P01", "password authentication failed")
 			return false
 		}
 		if done {
@@ -269,52 +270,52 @@
 	}
 }
 
-// canceled notes a cancel request for what a connection runs. Stand-ins don't stop work for it.
-func (n *Node) canceled(c *pgwire.Cancel) {
+// recordCancel records a cancel request for the statement that a connection runs. The statement runs on.
+func (n *Node) recordCancel(c *pgwire.Cancel) {
 	n.mu.Lock()
 	s := n.conns[uint64(c.PID)]
 	n.mu.Unlock()
-	if s == nil || s.secret != c.Key {
+	if s == nil || s.cancelKey != c.Key {
 		return
 	}
 	n.group.trace.mu.Lock()
 	defer n.group.trace.mu.Unlock()
-	if s.current != nil && s.current.Canceled.IsZero() {
-		s.current.Canceled = time.Now()
+	if s.lastArrived != nil && s.lastArrived.Canceled.IsZero() {
+		s.lastArrived.Canceled = time.Now()
 	}
 }
 
 func (s *session) flush() error {
 	s.node.mu.Lock()
-	cut := s.node.cut
+	limit := s.node.disconnectAfter
 	s.node.mu.Unlock()
 	out := s.out
 	s.out = s.out[:0]
-	if link := s.way(); link != nil && len(out) > 0 {
+	if link := s.link(); link != nil && len(out) > 0 {
 		delay, _ := link(s.user)
-		pause(s.run.ctx, delay)
+		sleep(s.process.ctx, delay)
 	}
-	if cut > 0 && s.sent+len(out) > cut {
-		s.nc.Write(out[:max(0, min(len(out), cut-s.sent))])
-		return cutError{}
+	if limit > 0 && s.sent+len(out) > limit {
+		s.nc.Write(out[:max(0, min(len(out), limit-s.sent))])
+		return disconnectError{}
 	}
 	s.sent += len(out)
 	_, err := s.nc.Write(out)
 	return err
 }
 
-func (s *session) way() Link {
+func (s *session) link() Link {
 	s.node.mu.Lock()
 	defer s.node.mu.Unlock()
 	return s.node.link
 }
 
-// ready appends ReadyForQuery, before it the position where the node tells it by parameter.
-func (s *session) ready() {
+// appendReady appends ReadyForQuery, preceded by the node's facts if it reports them by ParameterStatus and they changed.
+func (s *session) appendReady() {
 	if s.node.cfg.Params {
 		f := s.node.facts()
-		if told := fmt.Sprintf("%v %s %s %d", f.replica, f.at, f.snapshot, f.received); told != s.told {
-			s.told = told
+		if text := fmt.Sprintf("%v %s %s %d", f.replica, f.at, f.snapshot, f.received); text != s.reportedFacts {
+			s.reportedFacts = text
 			standby := map[bool]string{true: "on", false: "off"}[f.replica]
 			s.out = pgwire.AppendParameterStatus(s.out, "in_hot_standby", standby)
 			s.out = pgwire.AppendParameterStatus(s.out, "umberladder.position", f.at.String())
@@ -322,15 +323,15 @@
 			s.out = pgwire.AppendParameterStatus(s.out, "umberladder.received", lsnText(f.received))
 		}
 	}
-	s.out = pgwire.AppendReadyForQuery(s.out, s.tx)
+	s.out = pgwire.AppendReadyForQuery(s.out, s.txStatus)
 }
 
-// message handles one message; an error ends the session.
-func (s *session) message(m queued) error {
+// handleMessage handles one message. An error ends the session.
+func (s *session) handleMessage(m queuedMessage) error {
 	typ, body := m.typ, m.body
 	if s.failed && typ != pgwire.MsgSync {
-		if s.unrun(m.st); m.st != nil {
-			s.note(m.st, func(st *Statement) { st.Code = "25P02" }) // an error stands before it
+		if s.markNotRun(m.st); m.st != nil {
+			s.updateStatement(m.st, func(st *Statement) { st.Code = "25P02" }) // an earlier error aborted the batch
 		}
 		return nil
 	}
@@ -349,21 +350,21 @@
 		return s.flush()
 	case pgwire.MsgSync:
 		s.failed, s.snap = false, nil
-		s.ready()
+		s.appendReady()
 		err := s.flush()
-		s.finish()
+		s.endExecuting()
 		return err
 	case pgwire.MsgQuery:
 		return s.query(body, m.st)
 	default:
-		s.fatal("08P01", fmt.Sprintf("message %q is not understood", typ))
-		return cutError{}
+		s.sendFatal("08P01", fmt.Sprintf("unsupported message type %q", typ))
+		return disconnectError{}
 	}
 	return nil
 }
 
-// fault answers with an error; what follows is void up to Sync.
-func (s *session) fault(code, text string) error {
+// appendError appends an ErrorResponse; further messages are ignored up to Sync.
+func (s *session) appendError(code, text string) error {
 	s.out = pgwire.AppendErrorResponse(s.out, &pgwire.Error{Severity: "ERROR", Code: code, Message: text})
 	s.failed = true
 	return nil
@@ -386,14 +387,14 @@
 	}
 	st, ok := s.statements[m.Statement]
 	if !ok {
-		return s.fault("26000", fmt.Sprintf("prepared statement %q does not exist", m.Statement))
+		return s.appendError("26000", fmt.Sprintf("prepared statement %q does not exist", m.Statement))
 	}
-	s.portals[m.Portal] = portalOf(st, m)
+	s.portals[m.Portal] = bindPortal(st, m)
 	s.out = pgwire.AppendEmpty(s.out, pgwire.MsgBindComplete)
 	return nil
 }
 
-func portalOf(st pgwire.ParseMsg, m pgwire.BindMsg) portal {
+func bindPortal(st pgwire.ParseMsg, m pgwire.BindMsg) portal {
 	p := portal{sql: st.SQL, formats: m.ResultFormats}
 	for i, v := range m.Values {
 		p.values = append(p.values, textOf(v, formatAt(m.Formats, i), st.Types, i))
@@ -401,7 +402,7 @@
 	return p
 }
 
-// arg is a parameter's text, "" if there is none.
+// arg returns the text of parameter i, counted from 0, or "" if there is none.
 func (p *portal) arg(i int) string {
 	if i < len(p.values) {
 		return p.values[i]
@@ -409,7 +410,7 @@
 	return ""
 }
 
-// formatAt is the format of item i: none told is text, one told holds for all.
+// formatAt returns the format code of item i. No codes mean text for all items; a single code applies to all items.
 func formatAt(formats []int, i int) int {
 	switch len(formats) {
 	case 0:
@@ -423,7 +424,7 @@
 	return 0
 }
 
-// textOf is a value's text, whatever form it came in.
+// textOf returns the text of a parameter value in text or binary format; i is its index in types.
 func textOf(v []byte, format int, types []uint32, i int) string {
 	if format == 1 && len(v) == 8 && (i >= len(types) || types[i] != pgwire.OIDText) {
 		return strconv.FormatInt(int64(binary.BigEndian.Uint64(v)), 10)
@@ -440,14 +441,14 @@
 	if m.Kind == 'S' {
 		st, ok := s.statements[m.Name]
 		if !ok {
-			return s.fault("26000", fmt.Sprintf("prepared statement %q does not exist", m.Name))
+			return s.appendError("26000", fmt.Sprintf("prepared statement %q does not exist", m.Name))
 		}
 		sql = st.SQL
 		s.out = pgwire.AppendParameterDescription(s.out, paramTypes(sql))
 	} else {
 		p, ok := s.portals[m.Name]
 		if !ok {
-			return s.fault("34000", fmt.Sprintf("portal %q does not exist", m.Name))
+			return s.appendError("34000", fmt.Sprintf("portal %q does not exist", m.Name))
 		}
 		sql, formats = p.sql, p.formats
 	}
@@ -470,12 +471,12 @@
 	}
 	p, ok := s.portals[m.Portal]
 	if !ok {
-		return s.fault("34000", fmt.Sprintf("portal %q does not exist", m.Portal))
+		return s.appendError("34000", fmt.Sprintf("portal %q does not exist", m.Portal))
 	}
-	return s.statement(p, st)
+	return s.runStatement(p, st)
 }
 
-// query is the simple protocol: one statement without parameters.
+// query handles a message of the simple query protocol: one statement without parameters.
 func (s *session) query(body []byte, st *Statement) error {
 	sql, err := pgwire.ParseString(pgwire.MsgQuery, body)
 	if err != nil {
@@ -484,12 +485,12 @@
 	if columns := columnsOf(sql); columns != nil {
 		s.out = pgwire.AppendRowDescription(s.out, columns)
 	}
-	if err := s.statement(portal{sql: sql}, st); err != nil {
+	if err := s.runStatement(portal{sql: sql}, st); err != nil {
 		return err
 	}
 	s.failed, s.snap = false, nil
-	s.ready()
+	s.appendReady()
 	err = s.flush()
-	s.finish()
+	s.endExecuting()
 	return err
 }
--- a/standin/snapshot_test.go
+++ b/standin/snapshot_test.go
@@ -9,8 +9,8 @@
 	"umberladder/position"
 )
 
-// snapshotTold is the snapshot that a node tells.
-func (n *Node) snapshotTold(t *testing.T) position.Snapshot {
+// reportedSnapshot returns the snapshot that a node reports.
+func (n *Node) reportedSnapshot(t *testing.T) position.Snapshot {
 	t.Helper()
 	s, err := position.ParseSnapshot(n.facts().snapshot)
 	if err != nil {
@@ -19,8 +19,8 @@
 	return s
 }
 
-// put runs a write in a goroutine of its own and tells when it was answered.
-func put(t *testing.T, c *pgx.Conn, value string) <-chan error {
+// startWrite runs a write in a goroutine and returns a channel that receives its result.
+func startWrite(t *testing.T, c *pgx.Conn, value string) <-chan error {
 	t.Helper()
 	done := make(chan error, 1)
 	go func() {
@@ -30,14 +30,14 @@
 	return done
 }
 
-// logged waits until the group's log has so many commits.
-func logged(g *Group, n int) {
+// waitLogged waits until the group has logged n commits.
+func waitLogged(g *Group, n int) {
 	for len(g.Commits()) < n {
 		time.Sleep(time.Millisecond)
 	}
 }
 
-// TestLoggedBeforeVisible: a commit is in the log, and its place told, before the primary shows it.
+// TestLoggedBeforeVisible: a commit is in the log, and its position reported, before the primary shows it.
 func TestLoggedBeforeVisible(t *testing.T) {
 	cfg := testConfig()
 	cfg.Settle = 200 * time.Millisecond
@@ -45,18 +45,18 @@
 	p := g.Nodes()[0]
 	w, r := connect(t, p, "x"), connect(t, p, "x")
 	before := p.facts().at.LSN
-	done := put(t, w, "one")
-	logged(g, 1)
+	done := startWrite(t, w, "one")
+	waitLogged(g, 1)
 	if v, at := read(t, r, "a"), p.facts().at.LSN; v != "" || at <= before {
-		t.Errorf("shown %q at %d, before it at %d", v, at, before)
+		t.Errorf("read %q at LSN %d; LSN %d before the write", v, at, before)
 	}
 	if err := <-done; err != nil || read(t, r, "a") != "one" {
-		t.Errorf("after its answer: %v, %q", err, read(t, r, "a"))
+		t.Errorf("after the write was answered: %v, read %q", err, read(t, r, "a"))
 	}
 }
 
-// TestRemoteApply: a commit waits for a standby to replay it; the standby shows it before the primary does, and the
-// primary tells that its transaction is not over.
+// TestRemoteApply: a commit waits until a standby has replayed it; the standby shows it before the primary does, while the
+// primary reports its transaction as in progress.
 func TestRemoteApply(t *testing.T) {
 	cfg := testConfig()
 	cfg.RemoteApply = 2
@@ -64,26 +64,26 @@
 	nodes := g.Nodes()
 	nodes[2].Pause(true)
 	w, p, r := connect(t, nodes[0], "x"), connect(t, nodes[0], "x"), connect(t, nodes[1], "x")
-	done := put(t, w, "one")
+	done := startWrite(t, w, "one")
 	for read(t, r, "a") != "one" {
 		time.Sleep(time.Millisecond)
 	}
 	if v := read(t, p, "a"); v != "" {
 		t.Errorf("the primary shows %q while a standby has not replayed it", v)
 	}
-	if shown, over := nodes[1].snapshotTold(t).Next, nodes[0].snapshotTold(t).Oldest; shown <= over {
-		t.Errorf("the standby shows transactions below %d, on the primary all below %d are over", shown, over)
+	if shown, over := nodes[1].reportedSnapshot(t).Next, nodes[0].reportedSnapshot(t).Oldest; shown <= over {
+		t.Errorf("the standby shows transactions below %d, the primary reports none in progress below %d", shown, over)
 	}
 	nodes[2].Pause(false)
 	if err := <-done; err != nil || read(t, p, "a") != "one" {
-		t.Errorf("%v, %q", err, read(t, p, "a"))
+		t.Errorf("after the write was answered: %v, read %q", err, read(t, p, "a"))
 	}
-	if shown, over := nodes[1].snapshotTold(t).Next, nodes[0].snapshotTold(t).Oldest; shown > over {
-		t.Errorf("after it: %d and %d", shown, over)
+	if shown, over := nodes[1].reportedSnapshot(t).Next, nodes[0].reportedSnapshot(t).Oldest; shown > over {
+		t.Errorf("after the commit: the standby shows transactions below %d, the primary reports none in progress below %d", shown, over)
 	}
 }
 
-// TestPause: a paused replica has the log, stands still and shows what it showed.
+// TestPause: a paused replica receives the log, but keeps its position and shows the same data.
 func TestPause(t *testing.T) {
 	g, _ := newGroup(t, testConfig(), 2)
 	p, n := connect(t, g.Nodes()[0], "x"), g.Nodes()[1]
@@ -91,14 +91,14 @@
 	n.Pause(true)
 	time.Sleep(5 * time.Millisecond)
 	at := n.facts().at
-	if err := <-put(t, p, "one"); err != nil {
+	if err := <-startWrite(t, p, "one"); err != nil {
 		t.Fatal(err)
 	}
 	for n.facts().received == at.LSN {
 		time.Sleep(time.Millisecond)
 	}
 	if v := read(t, r, "a"); v != "" || n.facts().at != at {
-		t.Errorf("shows %q at %v", v, n.facts().at)
+		t.Errorf("the paused replica shows %q at %v", v, n.facts().at)
 	}
 	n.Pause(false)
 	for read(t, r, "a") != "one" {
@@ -106,26 +106,26 @@
 	}
 }
 
-// TestShownBeforePlace: a replica shows a commit before its place moves past the record.
-func TestShownBeforePlace(t *testing.T) {
+// TestVisibleBeforePosition: a replica shows a commit before its position moves past the record.
+func TestVisibleBeforePosition(t *testing.T) {
 	g, _ := newGroup(t, testConfig(), 2)
 	n := g.Nodes()[1]
 	p, r := connect(t, g.Nodes()[0], "x"), connect(t, n, "x")
-	n.Lag(20000) // two seconds for a record
+	n.Lag(20000) // two seconds per record
 	at := n.facts().at
-	if err := <-put(t, p, "one"); err != nil {
+	if err := <-startWrite(t, p, "one"); err != nil {
 		t.Fatal(err)
 	}
 	for read(t, r, "a") != "one" {
 		time.Sleep(time.Millisecond)
 	}
 	if f := n.facts(); f.at != at || f.received <= at.LSN {
-		t.Errorf("it stands at %+v, its place moved first or the record was never under way", f)
+		t.Errorf("facts %+v: the position moved before the commit was visible, or the record was never received", f)
 	}
 }
 
-// TestSnapshots: with read committed a statement sees what was committed before it began, one that reads through a
-// volatile function what was committed while it ran; with repeatable read the transaction's first statement settles it.
+// TestSnapshots: with read committed a statement sees commits from before it began, and one that reads through a volatile
+// function also commits made while it ran; with repeatable read the transaction's first statement takes the snapshot.
 func TestSnapshots(t *testing.T) {
 	for _, c := range []struct {
 		repeatable bool
@@ -140,7 +140,7 @@
 		cfg.Read, cfg.Repeatable = 200*time.Millisecond, c.repeatable
 		g, trace := newGroup(t, cfg, 1)
 		w, r := connect(t, g.Nodes()[0], "x"), connect(t, g.Nodes()[0], "x")
-		if err := <-put(t, w, "one"); err != nil {
+		if err := <-startWrite(t, w, "one"); err != nil {
 			t.Fatal(err)
 		}
 		if _, err := r.Prepare(t.Context(), "q", c.sql); err != nil {
@@ -157,17 +157,18 @@
 			time.Sleep(time.Millisecond)
 		}
 		time.Sleep(50 * time.Millisecond)
-		if err := <-put(t, w, "two"); err != nil {
+		if err := <-startWrite(t, w, "two"); err != nil {
 			t.Fatal(err)
 		}
 		if v := <-got; v != c.want {
-			t.Errorf("repeatable read %v, %s: saw %q, want %q", c.repeatable, c.sql, v, c.want)
+			t.Errorf("repeatable read %v, %s: read %q, want %q", c.repeatable, c.sql, v, c.want)
 		}
 		g.Close()
 	}
 }
 
-// TestAsynchronousCommit: it shows and is answered at once, its place told; a crash before it reached the disk loses it.
+// TestAsynchronousCommit: the commit is visible, answered and its position reported at once; a crash before the flush to
+// disk loses it.
 func TestAsynchronousCommit(t *testing.T) {
 	cfg := testConfig()
 	cfg.Async = time.Hour
@@ -175,11 +176,11 @@
 	nodes := g.Nodes()
 	w, r := connect(t, nodes[0], "x"), connect(t, nodes[0], "x")
 	before := nodes[0].facts().at.LSN
-	if err := <-put(t, w, "one"); err != nil {
+	if err := <-startWrite(t, w, "one"); err != nil {
 		t.Fatal(err)
 	}
 	if v, at := read(t, r, "a"), nodes[0].facts().at.LSN; v != "one" || at <= before {
-		t.Errorf("shown %q at %d, before it at %d", v, at, before)
+		t.Errorf("read %q at LSN %d; LSN %d before the write", v, at, before)
 	}
 	nodes[0].Die()
 	g.Promote(nodes[1])
--- a/standin/sql.go
+++ b/standin/sql.go
@@ -12,7 +12,7 @@
 	"umberladder/position"
 )
 
-// sqlForm is one of the few statements that stand-ins understand, told by how it begins.
+// sqlForm is one of the statements that nodes understand, recognized by its prefix.
 type sqlForm struct {
 	prefix  string
 	kind    Kind
@@ -28,20 +28,21 @@
 	{"select pg_is_in_recovery", KindFacts, []pgwire.Column{column("replica", pgwire.OIDBool, 1),
 		column("lsn", pgwire.OIDPgLSN, 8), column("timeline", pgwire.OIDInt4, 4), column("snapshot", pgwire.OIDText, -1),
 		column("received", pgwire.OIDPgLSN, 8), column("isolation", pgwire.OIDText, -1), column("clock", pgwire.OIDInt8, 8)}, nil},
-	// The guard before a write: $1 is the least timeline, $2 the node's time until which it holds, $3 the cluster.
+	// Guard before a write: $1 is the lowest timeline allowed, $2 the deadline by the node's clock in Unix microseconds,
+	// $3 the system identifier of the cluster.
 	{"select 1/(case when not pg_is_in_recovery()", KindGuard, []pgwire.Column{column("x", pgwire.OIDInt4, 4)}, []uint32{pgwire.OIDInt4, pgwire.OIDInt8, pgwire.OIDInt8}},
-	// Reads by a volatile function that looks at the table at its end: with read committed, its snapshot is then.
+	// Reads by a volatile function that reads the table at its end: with read committed, the snapshot is taken then.
 	{"select value, lsn from kv_late(", KindRead, []pgwire.Column{column("value", pgwire.OIDText, -1),
 		column("lsn", pgwire.OIDInt8, 8)}, []uint32{pgwire.OIDText, pgwire.OIDText}},
-	// Reads: $1 is the key, $2 the client's mark. The snapshot is taken as the statement begins.
+	// Reads: $1 is the key, $2 the client's tag. The snapshot is taken as the statement begins.
 	{"select value, lsn from kv", KindRead, []pgwire.Column{column("value", pgwire.OIDText, -1),
 		column("lsn", pgwire.OIDInt8, 8)}, []uint32{pgwire.OIDText, pgwire.OIDText}},
-	// Writes: $1 is the key, $2 the value, which is also the mark, $3 the idempotency key if there is one.
+	// Writes: $1 is the key, $2 the value, which is also the tag, $3 the idempotency key if there is one.
 	{"insert into kv", KindWrite, nil, []uint32{pgwire.OIDText, pgwire.OIDText}},
-	// Many rows: $1 is how many, $2 the mark.
+	// Many rows: $1 is the number of rows, $2 the tag.
 	{"select n from generate_series", KindRead, []pgwire.Column{column("n", pgwire.OIDInt8, 8)},
 		[]uint32{pgwire.OIDInt8, pgwire.OIDText}},
-	// Long rows: $1 is how many, $2 the mark, which each repeats $3 times.
+	// Long rows: $1 is the number of rows, each of which is the tag $2 repeated $3 times.
 	{"select repeat($2, $3) from generate_series", KindRead, []pgwire.Column{column("long", pgwire.OIDText, -1)},
 		[]uint32{pgwire.OIDInt8, pgwire.OIDText, pgwire.OIDInt8}},
 	{"select 1/0", KindOther, []pgwire.Column{column("x", pgwire.OIDInt4, 4)}, nil},
@@ -50,16 +51,16 @@
 	{"set default_transaction_isolation to 'repeatable read'", KindOther, nil, nil},
 }
 
-// known holds the forms of texts seen before, as the same ones come again and again.
-var known sync.Map
+// formCache maps statement texts to their forms, as most texts recur.
+var formCache sync.Map
 
 func formOf(sql string) *sqlForm {
-	if f, ok := known.Load(sql); ok {
+	if f, ok := formCache.Load(sql); ok {
 		return f.(*sqlForm)
 	}
 	f := findForm(sql)
 	if len(sql) < 4096 {
-		known.Store(strings.Clone(sql), f)
+		formCache.Store(strings.Clone(sql), f)
 	}
 	return f
 }
@@ -94,51 +95,51 @@
 	return types[:n]
 }
 
-// facts is what a node says of itself.
+// facts is a node's report of its role and log position.
 type facts struct {
 	replica  bool
 	at       position.Position
 	snapshot string
-	received uint64 // of a replica
+	received uint64 // end of the log that a replica has received
 }
 
 func (n *Node) facts() facts {
 	n.group.mu.Lock()
 	defer n.group.mu.Unlock()
-	f := facts{replica: !n.believes, at: n.branch.at(n.applied), snapshot: n.snapshot()}
+	f := facts{replica: !n.actsAsPrimary, at: n.branch.position(n.applied), snapshot: n.currentSnapshot()}
 	if f.replica {
-		f.received = n.received()
+		f.received = n.receivedLSN()
 	}
 	return f
 }
 
-// statement runs one statement of a portal and appends its answer.
-func (s *session) statement(p portal, st *Statement) error {
+// runStatement runs a portal's statement and appends its answer.
+func (s *session) runStatement(p portal, st *Statement) error {
 	f := formOf(p.sql)
 	if f == nil {
-		return s.fault("42601", "this stand-in does not understand the statement")
+		return s.appendError("42601", "statement not supported by this simulated node")
 	}
 	if f.kind != KindFacts && f.kind != KindGuard {
-		s.finish()
-		s.running = st
+		s.endExecuting()
+		s.executing = st
 	}
-	if s.repeatable && s.snap == nil {
-		snap := s.node.look() // with the transaction's first statement, whatever it is
+	if s.repeatableRead && s.snap == nil {
+		snap := s.node.takeSnapshot() // the transaction's first statement takes it, of whatever kind
 		s.snap = &snap
 	}
-	if !s.node.gate(s.run) {
-		return cutError{}
+	if !s.node.waitResponsive(s.process) {
+		return disconnectError{}
 	}
 	s.node.mu.Lock()
-	refusing := s.node.refusing
+	code := s.node.refusalCode
 	s.node.mu.Unlock()
-	if refusing != "" {
-		s.note(st, func(st *Statement) { st.Code = refusing })
-		if strings.HasPrefix(refusing, "57P0") && refusing != "57P03" {
-			s.fatal(refusing, "terminating connection due to administrator command")
-			return cutError{}
+	if code != "" {
+		s.updateStatement(st, func(st *Statement) { st.Code = code })
+		if strings.HasPrefix(code, "57P0") && code != "57P03" {
+			s.sendFatal(code, "terminating connection due to administrator command")
+			return disconnectError{}
 		}
-		return s.fault(refusing, "refused")
+		return s.appendError(code, "refused")
 	}
 	switch f.kind {
 	case KindGuard:
@@ -152,42 +153,45 @@
 	}
 	switch f.prefix {
 	case "begin":
-		s.tx = pgwire.TxOpen
+		s.txStatus = pgwire.TxOpen
 		s.out = pgwire.AppendCommandComplete(s.out, "BEGIN")
 	case "set default_transaction_isolation to 'repeatable read'":
-		s.repeatable = true
+		s.repeatableRead = true
 		s.out = pgwire.AppendCommandComplete(s.out, "SET")
 	case "copy":
 		s.out = append(s.out, pgwire.MsgCopyInResponse, 0, 0, 0, 7, 0, 0, 0)
 		return s.flush()
 	default:
-		return s.fault("22012", "division by zero")
+		return s.appendError("22012", "division by zero")
 	}
 	return nil
 }
 
-func (s *session) note(st *Statement, how func(*Statement)) { s.node.group.trace.change(st, how) }
+func (s *session) updateStatement(st *Statement, change func(*Statement)) {
+	s.node.group.trace.update(st, change)
+}
 
-// runGuard fails unless the node is a primary of a timeline no older than the one given, before the time given.
+// runGuard fails unless the node is a primary of the given cluster, on a timeline no lower than the given one, and its
+// clock has not passed the deadline.
 func (s *session) runGuard(p portal, st *Statement) error {
 	f := s.node.facts()
 	timeline, _ := strconv.ParseUint(p.arg(0), 10, 32)
 	until, err := strconv.ParseInt(p.arg(1), 10, 64)
 	switch {
 	case f.replica:
-		s.note(st, func(st *Statement) { st.Code = "55000" })
-		return s.fault("55000", "recovery is in progress")
-	case uint64(f.at.Timeline) < timeline, p.arg(2) != "" && p.arg(2) != strconv.FormatUint(s.node.system(), 10), err == nil && s.node.clock().UnixMicro() > until:
-		s.note(st, func(st *Statement) { st.Code = "22012" })
-		return s.fault("22012", "division by zero")
+		s.updateStatement(st, func(st *Statement) { st.Code = "55000" })
+		return s.appendError("55000", "recovery is in progress")
+	case uint64(f.at.Timeline) < timeline, p.arg(2) != "" && p.arg(2) != strconv.FormatUint(s.node.systemIdentifier(), 10), err == nil && s.node.clock().UnixMicro() > until:
+		s.updateStatement(st, func(st *Statement) { st.Code = "22012" })
+		return s.appendError("22012", "division by zero")
 	}
-	s.note(st, func(st *Statement) { st.Ran, st.Ended = true, time.Now() })
+	s.updateStatement(st, func(st *Statement) { st.Ran, st.Ended = true, time.Now() })
 	s.row(p, []pgwire.Column{{}}, "1")
 	s.out = pgwire.AppendCommandComplete(s.out, "SELECT 1")
 	return nil
 }
 
-func (s *session) runFacts(p portal, st *Statement, asks, history bool) error {
+func (s *session) runFacts(p portal, st *Statement, extended, withHistory bool) error {
 	f := s.node.facts()
 	replica := "f"
 	if f.replica {
@@ -196,26 +200,26 @@
 	lsn := lsnText(f.at.LSN)
 	values := []string{replica, lsn, strconv.FormatUint(uint64(f.at.Timeline), 10), f.snapshot, null, map[bool]string{true: "repeatable read", false: "read committed"}[s.snap != nil],
 		strconv.FormatInt(s.node.clock().UnixMicro(), 10)}
-	s.note(st, func(st *Statement) { st.Position, st.Replica, st.Ended = f.at, f.replica, time.Now() })
+	s.updateStatement(st, func(st *Statement) { st.Position, st.Replica, st.Ended = f.at, f.replica, time.Now() })
 	if f.replica {
 		values[4] = lsnText(f.received)
 	}
-	if asks {
+	if extended {
 		past := null
-		if history {
+		if withHistory {
 			past = s.node.history(f.at.Timeline)
 		}
-		values = append(values, past, s.node.standbys(), strconv.FormatUint(s.node.system(), 10), cmp.Or(s.node.upstream(), null))
+		values = append(values, past, s.node.standbys(), strconv.FormatUint(s.node.systemIdentifier(), 10), cmp.Or(s.node.upstream(), null))
 	}
 	s.row(p, make([]pgwire.Column, len(values)), values...)
 	s.out = pgwire.AppendCommandComplete(s.out, "SELECT 1")
 	return nil
 }
 
-// null stands for a value that is NULL.
+// null represents NULL among text values.
 const null = "\x00"
 
-// lsnText is PostgreSQL's form of an LSN.
+// lsnText formats an LSN as PostgreSQL does.
 func lsnText(lsn uint64) string {
 	_, text, _ := strings.Cut(position.Position{LSN: lsn}.String(), ":")
 	return text
@@ -238,11 +242,11 @@
 func (s *session) runRead(f *sqlForm, p portal, st *Statement) error {
 	snap, ok := s.read(strings.Contains(f.prefix, "kv_late"))
 	if !ok {
-		return cutError{}
+		return disconnectError{}
 	}
 	value, lsn, found := snap.value(p.arg(0))
-	s.note(st, func(st *Statement) {
-		st.Ran, st.Position, st.Replica, st.Over = true, snap.at(), snap.replica, snap.over
+	s.updateStatement(st, func(st *Statement) {
+		st.Ran, st.Position, st.Replica, st.Over = true, snap.position(), snap.replica, snap.xidWatermark
 	})
 	if strings.Contains(f.prefix, "generate_series") {
 		return s.series(f, p)
@@ -256,22 +260,22 @@
 	return nil
 }
 
-// read does a read's work and takes its snapshot: as it begins or ends, or with the transaction's first statement
-// where that is repeatable read.
+// read spends a read's core time and returns its snapshot: taken at the read's start, at its end if late is set, or by the
+// first statement of a repeatable read transaction. It returns false if the process has ended.
 func (s *session) read(late bool) (snap snapshot, ok bool) {
 	n := s.node
-	if !n.hold(s.run) {
+	if !n.acquireCore(s.process) {
 		return snap, false
 	}
-	defer n.free()
-	if snap = n.look(); s.snap != nil {
+	defer n.releaseCore()
+	if snap = n.takeSnapshot(); s.snap != nil {
 		snap = *s.snap
 	}
-	if !n.toil(s.run, n.cfg.readCost()) {
+	if !n.spendOnCore(s.process, n.cfg.readCost()) {
 		return snap, false
 	}
 	if late && s.snap == nil {
-		snap = n.look()
+		snap = n.takeSnapshot()
 	}
 	return snap, true
 }
@@ -297,23 +301,23 @@
 func (s *session) runWrite(p portal, st *Statement) error {
 	n := s.node
 	if n.facts().replica {
-		s.note(st, func(st *Statement) { st.Code, st.Replica = "25006", true })
-		return s.fault("25006", "cannot execute INSERT in a read-only transaction")
+		s.updateStatement(st, func(st *Statement) { st.Code, st.Replica = "25006", true })
+		return s.appendError("25006", "cannot execute INSERT in a read-only transaction")
 	}
-	if !n.work(s.run, n.cfg.drawn(n.cfg.Write)) {
-		return cutError{}
+	if !n.useCore(s.process, n.cfg.drawCost(n.cfg.Write)) {
+		return disconnectError{}
 	}
 	if n.facts().replica {
-		s.note(st, func(st *Statement) { st.Code, st.Replica = "25006", true })
-		return s.fault("25006", "cannot execute INSERT in a read-only transaction")
+		s.updateStatement(st, func(st *Statement) { st.Code, st.Replica = "25006", true })
+		return s.appendError("25006", "cannot execute INSERT in a read-only transaction")
 	}
-	xid := n.begin()
+	xid := n.beginTransaction()
 	at, ran := n.group.write(n, xid, p.arg(0), p.arg(1), p.arg(2))
-	s.note(st, func(st *Statement) { st.Ran, st.Position = ran, at })
-	if ran && !n.settle(s.run, at) {
-		return cutError{}
+	s.updateStatement(st, func(st *Statement) { st.Ran, st.Position = ran, at })
+	if ran && !n.waitVisible(s.process, at) {
+		return disconnectError{}
 	}
-	n.end(xid, at)
+	n.endTransaction(xid, at)
 	s.out = pgwire.AppendCommandComplete(s.out, "INSERT 0 1")
 	return nil
 }
--- a/standin/trace.go
+++ b/standin/trace.go
@@ -7,70 +7,73 @@
 	"umberladder/position"
 )
 
-// Kind is what a recorded statement was.
+// Kind is the kind of a recorded statement.
 type Kind uint8
 
-// The kinds of statement.
+// The kinds of statements.
 const (
-	KindFacts Kind = iota
+	KindFacts Kind = iota // query for the node's role and log position
 	KindRead
 	KindWrite
-	KindOther
-	KindGuard // before a write
+	KindOther // any other statement, also one that the node does not understand
+	KindGuard // check before a write
 )
 
-// Statement is one statement that reached a node. Its tag is the client's own mark for the request.
+// Statement is one statement that reached a node.
 type Statement struct {
 	Node     string
-	Driver   string // the user that the connection presented itself as
+	Driver   string // the user name given in the startup message
 	Conn     uint64
 	Kind     Kind
-	Tag      string
+	Tag      string // the client's identifier of the request
 	Key      string
 	Arrived  time.Time
-	Ended    time.Time // when its answer was written or its connection ended; zero while it is out
-	Canceled time.Time // when a cancel request for its connection came; zero for none
-	Ran      bool      // it took effect, or read
-	Code     string    // SQLSTATE of a refusal
-	Position position.Position
-	Replica  bool
-	Over     uint64 // of a read: every transaction below it is over and shown on the node; 0 for other statements
+	Ended    time.Time         // when its answer was written or its connection ended; zero while it is in flight
+	Canceled time.Time         // when a cancel request for it was received; zero for none
+	Ran      bool              // it read data or took effect
+	Code     string            // SQLSTATE with which it was refused; "" if it was not
+	Position position.Position // log position that a read or facts query saw, or that a write reached
+	Replica  bool              // the node acted as a replica
+	// Over is set for a read: on a primary, the lowest transaction id in progress; on a replica, the lowest id above every
+	// transaction visible there. It is 0 for other statements.
+	Over uint64
 }
 
-// Start is one start of a node's process.
+// Start is one cold start of a node's process; warm starts of new members are not recorded.
 type Start struct {
 	Node string
 	At   time.Time
 	Cold bool
 }
 
-// Trace is everything that reached the nodes of a run, in order of arrival.
+// Trace records the statements and connections that reach the nodes of a run, in order of arrival. All methods may be
+// called from any goroutine.
 type Trace struct {
-	mu         sync.Mutex
-	statements []*Statement
-	starts     []Start
-	conns      map[string]int // open connections by node
-	opened     int
-	opens      []Open
+	mu          sync.Mutex
+	statements  []*Statement
+	starts      []Start
+	openConns   map[string]int // number of open connections by node
+	totalConns  int
+	connections []Connection
 }
 
-// Open is one connection that a node took.
-type Open struct {
+// Connection is one connection that a node accepted.
+type Connection struct {
 	Node string
 	At   time.Time
 }
 
-// Opens lists all connections that there have been, in order.
-func (t *Trace) Opens() []Open {
+// Opens returns all connections that the nodes have accepted, in order.
+func (t *Trace) Opens() []Connection {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return append([]Open(nil), t.opens...)
+	return append([]Connection(nil), t.connections...)
 }
 
-// NewTrace begins an empty record.
-func NewTrace() *Trace { return &Trace{conns: map[string]int{}} }
+// NewTrace returns an empty trace.
+func NewTrace() *Trace { return &Trace{openConns: map[string]int{}} }
 
-// Statements is a copy of what came so far.
+// Statements returns a copy of the statements recorded so far.
 func (t *Trace) Statements() []Statement {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -81,61 +84,61 @@
 	return all
 }
 
-// Starts lists the starts of nodes after their first.
+// Starts returns the cold starts of nodes: restarts, and members added cold.
 func (t *Trace) Starts() []Start {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return append([]Start(nil), t.starts...)
 }
 
-// Open is how many connections are open, to all nodes.
+// Open returns the number of connections open to all nodes.
 func (t *Trace) Open() (n int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	for _, c := range t.conns {
+	for _, c := range t.openConns {
 		n += c
 	}
 	return n
 }
 
-// Opened is how many connections there have been.
+// Opened returns the number of connections that the nodes have accepted.
 func (t *Trace) Opened() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.opened
+	return t.totalConns
 }
 
-func (t *Trace) connected(node string, by int) {
+func (t *Trace) recordConns(node string, by int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.conns[node] += by
+	t.openConns[node] += by
 	if by > 0 {
-		t.opened++
-		t.opens = append(t.opens, Open{node, time.Now()})
+		t.totalConns++
+		t.connections = append(t.connections, Connection{node, time.Now()})
 	}
 }
 
-func (t *Trace) arrived(s *Statement) {
+func (t *Trace) recordArrival(s *Statement) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	s.Arrived = time.Now() // under the lock, so that the record is in order of arrival
+	s.Arrived = time.Now() // under the lock, so that statements are recorded in order of arrival
 	t.statements = append(t.statements, s)
 }
 
-// change alters a recorded statement.
-func (t *Trace) change(s *Statement, how func(*Statement)) {
+// update modifies a recorded statement under the lock.
+func (t *Trace) update(s *Statement, change func(*Statement)) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	how(s)
+	change(s)
 }
 
-func (t *Trace) started(s Start) {
+func (t *Trace) recordStart(s Start) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.starts = append(t.starts, s)
 }
 
-// Replace puts statements and starts in the place of what was recorded, for tests of what judges a trace.
+// Replace replaces the recorded statements and starts, for tests of code that judges a trace.
 func (t *Trace) Replace(statements []Statement, starts []Start) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
