--- a/standin/catalog/client.go
+++ b/standin/catalog/client.go
@@ -8,35 +8,37 @@
 	"umberladder/pgwire"
 )
 
-// AppendStartup appends the startup message of the shared platform's clients.
+// AppendStartup appends the startup message that clients of the shared platform send.
 func AppendStartup(b []byte) []byte {
 	return pgwire.AppendStartup(b, map[string]string{"user": "worker", "database": "catalog"})
 }
 
-// ReadText is the statement of a read of a class whose client waits for so long.
+// ReadText returns the text of a read of the given class with its request id. wait is the client's deadline, sent in whole
+// milliseconds.
 func ReadText(id, class string, wait time.Duration) string {
-	return fmt.Sprintf(`SELECT body FROM objects WHERE oid = '7f3a' /* id=%s,c=%s,d=%d,cluster=%d */`, id, class, wait.Milliseconds(), Group)
+	return fmt.Sprintf(`SELECT body FROM objects WHERE oid = '7f3a' /* id=%s,c=%s,d=%d,cluster=%d */`, id, class, wait.Milliseconds(), PodGroup)
 }
 
-// WriteText is the statement of a write whose client waits for so long.
+// WriteText returns the text of a write with its request id. wait is the client's deadline, sent in whole milliseconds.
 func WriteText(id string, wait time.Duration) string {
 	return fmt.Sprintf(`INSERT INTO objects (oid, body) VALUES ('7f3a', '\x9f03') RETURNING body /* id=%s,c=write,d=%d,cluster=%d */`,
-		id, wait.Milliseconds(), Group)
+		id, wait.Milliseconds(), PodGroup)
 }
 
-// Reply is all that came up to a ReadyForQuery, or to the connection's end.
+// Reply is the content of a reply up to ReadyForQuery, or up to the end of the connection.
 type Reply struct {
-	Value  string // of the row, if one came
-	Code   string // SQLSTATE of the error, if one came
+	Value  string // of the last row; "" if there was none
+	Code   string // SQLSTATE of the error; "" if there was none
 	Detail string // of the error
-	Types  string // of the messages, in order
+	Types  string // message types in order of arrival
 }
 
-// ErrMalformed says that a message of a reply can't be read, or is not what the platform's protocol has there.
+// ErrMalformed means that a message of a reply can't be parsed or violates the platform's protocol.
 var ErrMalformed = errors.New("malformed reply")
 
-// ReadReply reads a reply. On an error of the connection the reply holds what came before, as the code of one that was
-// refused.
+// ReadReply blocks until it has read a reply up to ReadyForQuery. On an error of the connection it also returns the
+// messages read before it, for example the SQLSTATE of a refused connection. A message that can't be parsed gives
+// ErrMalformed.
 func ReadReply(r *pgwire.Reader) (reply Reply, err error) {
 	for {
 		typ, body, err := r.Next()
--- a/standin/catalog/config.go
+++ b/standin/catalog/config.go
@@ -6,23 +6,24 @@
 	"time"
 )
 
-// DriverConfig is what a driver on the shared platform is told beside its settings.
+// DriverConfig holds the values of a driver's configuration file on the shared platform that differ between runs.
 type DriverConfig struct {
 	Name      string
-	Listen    string // host:port
-	Discovery string // host:port
-	Sockets   int    // file descriptors
-	MemoryMB  int
-	Known     json.RawMessage // the list as the driver last had it
+	Listen    string          // host:port
+	Discovery string          // host:port
+	Sockets   int             // file descriptors
+	MemoryMB  int             // limit in MiB
+	Known     json.RawMessage // member list that the driver last received, in discovery's format
 	// Deadlines of the classes "article" and "own", and of "write".
 	ReadDeadline, WriteDeadline time.Duration
 }
 
-// DrainGrace is how long after the news of a drain or removal a member may still get something new.
+// DrainGrace is the time after a driver is notified of a member's drain or removal in which the member may still get new
+// requests.
 const DrainGrace = 500 * time.Millisecond
 
-// settingsForm has places for the deadlines of article, own and write and for the drain's grace, in milliseconds.
-const settingsForm = `{"areas":["a"],"round":5,"n-instances":2,"discovery":"push",
+// settingsFormat takes the deadlines of the classes article, own and write and the drain grace, all in milliseconds.
+const settingsFormat = `{"areas":["a"],"round":5,"n-instances":2,"discovery":"push",
  "classes":[{"name":"article","deadline":%d,"target":400,"effect":"read_like","worth":2,"late-worth":0},
   {"name":"own","deadline":%d,"target":250,"effect":"read_like","worth":1,"late-worth":0},
   {"name":"write","deadline":%d,"target":500,"effect":"non_idempotent","worth":6,"late-worth":0.5}],
@@ -31,9 +32,9 @@
  "bounds":{"cancel":true,"probing":true,"try-limit":10,"retry-after":true,"max-retry-after":1000,"dial-timeout":250,"idle-close":30000,"max-open":20000},
  "feedback":{"via":"probe","fields":["x0","x1","utilization"]}}`
 
-// Text is the configuration file.
+// Text returns the text of the configuration file.
 func (c *DriverConfig) Text() string {
-	settings := fmt.Sprintf(settingsForm, c.ReadDeadline.Milliseconds(), c.ReadDeadline.Milliseconds(), c.WriteDeadline.Milliseconds(),
+	settings := fmt.Sprintf(settingsFormat, c.ReadDeadline.Milliseconds(), c.ReadDeadline.Milliseconds(), c.WriteDeadline.Milliseconds(),
 		DrainGrace.Milliseconds())
 	return fmt.Sprintf(`{"name":%q,"listen":%q,"discovery":%q,"seed":"8c1f30d27a5be964",
  "limits":{"cores":1,"memory_mb":%d,"sockets":%d},"known":%s,"settings":%s}`, c.Name, c.Listen, c.Discovery, c.MemoryMB, c.Sockets, c.Known, settings)
--- a/standin/catalog/discovery.go
+++ b/standin/catalog/discovery.go
@@ -10,138 +10,141 @@
 	"time"
 )
 
-// State is a member's state in the list.
+// State is a member's state in the agent's list.
 type State string
 
-// The states.
+// The states of members.
 const (
 	StateReady    State = "ready"
 	StateDraining State = "draining"
-	StateGone     State = "gone" // only among changes
+	StateRemoved  State = "gone" // only in changes, not in the full list
 )
 
-// entry is a member as the list has it.
+// entry is a member in discovery's format.
 type entry struct {
 	UID      string `json:"uid"`
 	Endpoint string `json:"endpoint"`
 	Zone     string `json:"az"`
 	Group    int    `json:"pod_group"`
 	State    State  `json:"state"`
-	Boot     int64  `json:"boot_ms"` // Unix time in milliseconds, 0 for long ago
+	Boot     int64  `json:"boot_ms"` // last start, Unix time in milliseconds; 0 for a warm member
 }
 
-// list is one object of discovery.
-type list struct {
+// listObject is one object of discovery: the full list or one change.
+type listObject struct {
 	Rev     int     `json:"rev"`
 	All     bool    `json:"all"`
 	Targets []entry `json:"targets"`
 }
 
-// Group is the cluster that all members of an agent's list are of.
-const Group = 3
+// PodGroup is the cluster number of all members of an agent's list.
+const PodGroup = 3
 
-// firstVersion is the version of an agent's list before anything is in it.
-const firstVersion = 1
+// initialRev is the version of an empty list.
+const initialRev = 1
 
-// aliveEvery is how often a watch says that nothing has changed.
-const aliveEvery = 2 * time.Second
+// keepAliveInterval is the time without changes after which a watch sends an empty line.
+const keepAliveInterval = 2 * time.Second
 
-// Agent tells the list of members, as a whole or as a watch. All methods may be called from any goroutine.
+// Agent simulates the discovery agent: it serves the list of members over HTTP, once or as a watch that also sends
+// changes. All methods may be called from any goroutine.
 type Agent struct {
-	server *http.Server
-	l      net.Listener
-	ended  chan struct{}
+	server    *http.Server
+	listener  net.Listener
+	serveDone chan struct{}
 
 	mu      sync.Mutex
 	rev     int
 	entries map[string]entry
-	changes []list
-	changed chan struct{} // closed at the next change, or when silence ends
+	changes []listObject
+	changed chan struct{} // closed at the next change, or when Silence is called
 	silent  bool
-	over    chan struct{}
+	closing chan struct{}
 }
 
-// NewAgent starts an agent on a free port of the loopback address, with a list of ready members.
+// NewAgent starts an agent on a free loopback port, with a list in which the given members are ready. An error means that
+// it could not listen.
 func NewAgent(members ...*Member) (*Agent, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	a := &Agent{l: l, ended: make(chan struct{}), over: make(chan struct{}), rev: firstVersion, entries: map[string]entry{}, changed: make(chan struct{})}
+	a := &Agent{listener: l, serveDone: make(chan struct{}), closing: make(chan struct{}), rev: initialRev, entries: map[string]entry{}, changed: make(chan struct{})}
 	for _, m := range members {
 		a.Set(m, StateReady, time.Time{})
 	}
 	a.server = &http.Server{Handler: http.HandlerFunc(a.serve)}
 	go func() {
-		defer close(a.ended)
+		defer close(a.serveDone)
 		a.server.Serve(l)
 	}()
 	return a, nil
 }
 
-// Address is where the agent listens, host:port.
-func (a *Agent) Address() string { return a.l.Addr().String() }
+// Address returns the agent's listen address, host:port.
+func (a *Agent) Address() string { return a.listener.Addr().String() }
 
-// Close ends the agent and its watches.
+// Close ends the agent and its watches, and returns when the server has stopped. It must be called only once.
 func (a *Agent) Close() {
-	close(a.over)
+	close(a.closing)
 	a.server.Close()
-	<-a.ended
+	<-a.serveDone
 }
 
-// Set changes a member's entry, or adds it. boot is when it last started, zero for long ago.
+// Set adds a member's entry or replaces it, or removes it for StateRemoved, and notifies watches. boot is the member's
+// last start; zero for a warm member.
 func (a *Agent) Set(m *Member, state State, boot time.Time) {
-	e := entry{UID: m.UID, Endpoint: m.Address(), Zone: "a", Group: Group, State: state}
+	e := entry{UID: m.UID, Endpoint: m.Address(), Zone: "a", Group: PodGroup, State: state}
 	if !boot.IsZero() {
 		e.Boot = boot.UnixMilli()
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.rev++
-	if state == StateGone {
+	if state == StateRemoved {
 		delete(a.entries, m.UID)
 	} else {
 		a.entries[m.UID] = e
 	}
-	a.changes = append(a.changes, list{Rev: a.rev, Targets: []entry{e}})
-	a.wake()
+	a.changes = append(a.changes, listObject{Rev: a.rev, Targets: []entry{e}})
+	a.notifyWatches()
 }
 
-// SetVersion gives the list a version, as an agent has one that was told of more changes.
+// SetVersion sets the list's version, to simulate an agent that has seen more or fewer changes.
 func (a *Agent) SetVersion(rev int) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.rev = rev
 }
 
-// Silence makes the agent say nothing, on open watches and new ones, until told otherwise.
+// Silence makes the agent, while on, send nothing on open and new watches, not even keep-alives.
 func (a *Agent) Silence(on bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.silent = on
-	a.wake()
+	a.notifyWatches()
 }
 
-// wake has all watches look. The lock is held.
-func (a *Agent) wake() {
+// notifyWatches makes all watches check for changes. The caller holds the lock.
+func (a *Agent) notifyWatches() {
 	close(a.changed)
 	a.changed = make(chan struct{})
 }
 
-// Known is the list as the agent has it, in discovery's form.
+// Known returns the agent's full list in discovery's format.
 func (a *Agent) Known() json.RawMessage {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	raw, err := json.Marshal(a.whole())
+	raw, err := json.Marshal(a.fullList())
 	if err != nil {
-		panic(err) // it has nothing that can't be written
+		panic(err) // the list holds only encodable values
 	}
 	return raw
 }
 
-// whole is the list. The lock is held.
-func (a *Agent) whole() list {
-	out := list{Rev: a.rev, All: true, Targets: []entry{}}
+// fullList returns the list sorted by UID. The caller holds the lock.
+func (a *Agent) fullList() listObject {
+	out := listObject{Rev: a.rev, All: true, Targets: []entry{}}
 	for _, e := range a.entries {
 		out.Targets = append(out.Targets, e)
 	}
@@ -149,18 +152,19 @@
 	return out
 }
 
-// due is what a watch that has told up to a version is to tell next, and what tells of the next change.
-func (a *Agent) due(told int) (objects []list, silent bool, changed chan struct{}) {
+// pending returns the objects that a watch which has sent the list up to version sentRev, or nothing for 0, has to send
+// next, whether the agent is silent, and a channel that is closed at the next change.
+func (a *Agent) pending(sentRev int) (objects []listObject, silent bool, changed chan struct{}) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	switch {
 	case a.silent:
 		return nil, true, a.changed
-	case told == 0:
-		return []list{a.whole()}, false, a.changed
+	case sentRev == 0:
+		return []listObject{a.fullList()}, false, a.changed
 	}
 	for _, c := range a.changes {
-		if c.Rev > told {
+		if c.Rev > sentRev {
 			objects = append(objects, c)
 		}
 	}
@@ -169,21 +173,21 @@
 
 func (a *Agent) serve(w http.ResponseWriter, r *http.Request) {
 	encoder := json.NewEncoder(w)
-	for told := 0; ; {
-		objects, silent, changed := a.due(told)
+	for sentRev := 0; ; {
+		objects, silent, changed := a.pending(sentRev)
 		for _, o := range objects {
 			if encoder.Encode(o) != nil {
 				return
 			}
-			told = o.Rev
+			sentRev = o.Rev
 		}
-		if told > 0 && r.URL.Query().Get("watch") == "" {
+		if sentRev > 0 && r.URL.Query().Get("watch") == "" {
 			return
 		}
 		if flusher, ok := w.(http.Flusher); ok && len(objects) > 0 {
 			flusher.Flush()
 		}
-		alive := time.NewTimer(aliveEvery)
+		alive := time.NewTimer(keepAliveInterval)
 		select {
 		case <-changed:
 		case <-alive.C:
@@ -194,7 +198,7 @@
 		case <-r.Context().Done():
 			alive.Stop()
 			return
-		case <-a.over:
+		case <-a.closing:
 			alive.Stop()
 			return
 		}
--- a/standin/catalog/member.go
+++ b/standin/catalog/member.go
@@ -1,6 +1,8 @@
-// Package catalog plays what a driver on the operators' shared platform speaks to: members, which answer simple queries
-// of PostgreSQL's protocol, and the discovery agent, which tells the list of members over HTTP. They record what
-// reaches them and fail when told to. They are stand-ins on loopback and keep no data.
+// Package catalog simulates on loopback what a driver on the operators' shared platform talks to: members, which take
+// simple queries of the PostgreSQL protocol, the discovery agent, which takes member states from the caller, and the
+// clients. Members answer with fixed values, without keeping data, and record the requests that reach them; the agent
+// serves the list of members over HTTP; and the client functions return request texts and parsed replies. The tests of
+// package platform and the package lab/soak call it, and inject faults.
 package catalog
 
 import (
@@ -13,36 +15,37 @@
 	"umberladder/pgwire"
 )
 
-// mostMessage is how long a message to a member may be, in bytes.
-const mostMessage = 1 << 20
+// maxMessageBytes is the maximum length of a message to a member.
+const maxMessageBytes = 1 << 20
 
-// Request is one request as it reached a member.
+// Request is one request that a member received.
 type Request struct {
 	ID   string
 	Text string
-	At   time.Time // when its last byte had been read
-	Conn int       // the member's number of the connection
+	At   time.Time // when its last byte was read
+	Conn int       // number of the connection at the member, from 1
 }
 
-// Script answers a request in place of the member, and tells whether it did. n counts the member's requests from 1.
+// Script answers a request on c in place of the member, and reports whether it did; if not, the member answers. n is the
+// number of requests since the start or the last Reset, this one included. Calls may be concurrent.
 type Script func(n int, id string, c net.Conn) (answered bool)
 
-// Member answers requests on a socket of its own. All methods may be called from any goroutine.
+// Member is one simulated member with a listener of its own. All methods may be called from any goroutine.
 type Member struct {
 	UID     string
 	Primary bool
 
-	mu       sync.Mutex
-	listener net.Listener
-	conns    map[net.Conn]bool // whether a request is being answered on it
-	opened   int
-	seen     []Request
-	script   Script
-	hung     chan struct{} // closed when it no longer hangs; nil if it does not
-	work     sync.WaitGroup
+	mu         sync.Mutex
+	listener   net.Listener
+	conns      map[net.Conn]bool // value: a request is being answered on the connection
+	opened     int
+	requests   []Request
+	script     Script
+	hung       chan struct{} // closed when Hang ends; nil while the member does not hang
+	goroutines sync.WaitGroup
 }
 
-// NewMember starts a member on a free port of the loopback address.
+// NewMember starts a member on a free loopback port. An error means that it could not listen.
 func NewMember(uid string, primary bool) (*Member, error) {
 	m := &Member{UID: uid, Primary: primary, conns: map[net.Conn]bool{}}
 	return m, m.listen()
@@ -56,7 +59,7 @@
 	m.mu.Lock()
 	m.listener = l
 	m.mu.Unlock()
-	m.work.Go(func() {
+	m.goroutines.Go(func() {
 		for {
 			c, err := l.Accept()
 			if err != nil {
@@ -67,28 +70,28 @@
 			m.opened++
 			number := m.opened
 			m.mu.Unlock()
-			m.work.Go(func() { m.serve(c, number) })
+			m.goroutines.Go(func() { m.serve(c, number) })
 		}
 	})
 	return nil
 }
 
-// Address is where the member listens now, host:port.
+// Address returns the member's current listen address, host:port.
 func (m *Member) Address() string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.listener.Addr().String()
 }
 
-// Close ends the member, its connections and its goroutines.
+// Close ends the member and its connections, and returns when its goroutines have ended.
 func (m *Member) Close() {
 	m.Hang(false)
-	m.end()
-	m.work.Wait()
+	m.closeSockets()
+	m.goroutines.Wait()
 }
 
-// end closes the listener and all connections.
-func (m *Member) end() {
+// closeSockets closes the listener and all connections.
+func (m *Member) closeSockets() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.listener.Close()
@@ -97,13 +100,14 @@
 	}
 }
 
-// Restart ends the member's process and starts it at a new address.
+// Restart closes the member's listener and connections and listens at a new address. An error means that it could not
+// listen.
 func (m *Member) Restart() error {
-	m.end()
+	m.closeSockets()
 	return m.listen()
 }
 
-// CloseIdle closes the connections on which no request is being answered.
+// CloseIdle closes the connections on which no request is in flight.
 func (m *Member) CloseIdle() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -114,7 +118,7 @@
 	}
 }
 
-// Hang makes the member take everything and answer nothing, until told otherwise.
+// Hang makes the member, while on, accept connections and requests without answering them.
 func (m *Member) Hang(on bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -127,7 +131,7 @@
 	}
 }
 
-// waitWhileHung returns once the member does not hang.
+// waitWhileHung blocks while the member hangs.
 func (m *Member) waitWhileHung() {
 	m.mu.Lock()
 	hung := m.hung
@@ -137,35 +141,35 @@
 	}
 }
 
-// Open is how many connections the member has.
+// Open returns the number of open connections.
 func (m *Member) Open() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return len(m.conns)
 }
 
-// SetScript has a script answer requests from now on; nil ends that.
+// SetScript sets the script that answers further requests; nil for the member's own answers.
 func (m *Member) SetScript(s Script) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.script = s
 }
 
-// Requests lists what came since the start or the last Reset.
+// Requests returns the requests received since the start or the last Reset, in order.
 func (m *Member) Requests() []Request {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return append([]Request(nil), m.seen...)
+	return append([]Request(nil), m.requests...)
 }
 
-// Reset forgets the requests that came.
+// Reset clears the record of requests.
 func (m *Member) Reset() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.seen = nil
+	m.requests = nil
 }
 
-var idOf = regexp.MustCompile(`id=(\w+),`)
+var idPattern = regexp.MustCompile(`id=(\w+),`)
 
 func (m *Member) serve(c net.Conn, number int) {
 	defer func() {
@@ -174,7 +178,7 @@
 		delete(m.conns, c)
 		m.mu.Unlock()
 	}()
-	r := pgwire.NewReader(c, mostMessage)
+	r := pgwire.NewReader(c, maxMessageBytes)
 	if _, err := r.NextStartup(); err != nil {
 		return
 	}
@@ -193,7 +197,7 @@
 	}
 }
 
-// answerQuery answers an empty query, a probe or a request.
+// answerQuery answers an empty query, a probe (SHOW gauges) or a request, which it also records.
 func (m *Member) answerQuery(c net.Conn, number int, text string) {
 	if text == "" {
 		m.waitWhileHung()
@@ -207,12 +211,12 @@
 		return
 	}
 	id := ""
-	if found := idOf.FindStringSubmatch(text); found != nil {
+	if found := idPattern.FindStringSubmatch(text); found != nil {
 		id = found[1]
 	}
 	m.mu.Lock()
-	m.seen = append(m.seen, Request{ID: id, Text: text, At: time.Now(), Conn: number})
-	n, script := len(m.seen), m.script
+	m.requests = append(m.requests, Request{ID: id, Text: text, At: time.Now(), Conn: number})
+	n, script := len(m.requests), m.script
 	m.conns[c] = true
 	m.mu.Unlock()
 	m.waitWhileHung()
@@ -233,13 +237,14 @@
 
 var column = []pgwire.Column{{Name: "body", Type: pgwire.OIDBytea, Size: -1, Mod: -1, Format: 1}}
 
-// Row is an answer's row up to CommandComplete.
+// Row returns the messages of an answer with one row of one value, from RowDescription to CommandComplete.
 func Row(value string) []byte {
 	b := pgwire.AppendDataRow(pgwire.AppendRowDescription(nil, column), [][]byte{[]byte(value)})
 	return pgwire.AppendCommandComplete(b, "SELECT 1")
 }
 
-// Ready ends an answer with what the member tells of itself.
+// Ready appends the end of an answer: the member's role and the time up to which its data is current, as
+// ParameterStatus, and ReadyForQuery.
 func (m *Member) Ready(b []byte) []byte {
 	role := "replica"
 	if m.Primary {
@@ -250,8 +255,8 @@
 	return pgwire.AppendReadyForQuery(b, pgwire.TxIdle)
 }
 
-// Value is the value with which members answer a request.
+// Value returns the value with which members answer the request of an id.
 func Value(id string) string { return "value of " + id }
 
-// Answer is the whole answer to a request.
+// Answer returns the member's complete answer to the request of an id.
 func (m *Member) Answer(id string) []byte { return m.Ready(Row(Value(id))) }
