--- a/load/goal.go
+++ b/load/goal.go
@@ -10,30 +10,31 @@
 	"umberladder/internal/lines"
 )
 
-// All names all classes together in goals and results.
+// All stands for all classes together in goals and results.
 const All = "all"
 
-// Goal is what a run must come to, as "p99(own-read) < 50ms" or "served(write) > 99%".
+// Goal is a bound on a measure of a run, as "p99(own-read) < 50ms" or "served(write) > 99%".
 type Goal struct {
-	Text  string
-	What  string // pNN, max, mean, served, refused, failed, rate
-	Class string // or All
-	Less  bool
-	Bound float64 // ns of times, a share, or answers a second
+	Text    string
+	Measure string  // pNN, max, mean, served, refused, failed, rate
+	Class   string  // class name or All
+	Below   bool    // the measure must be below Bound, otherwise above it
+	Bound   float64 // nanoseconds, a share from 0 to 1, or served requests per second
 }
 
 var goalForm = regexp.MustCompile(`^\s*(p\d+(?:\.\d+)?|max|mean|served|refused|failed|rate)\(([^()]+)\)\s*([<>])\s*(\S+)\s*$`)
 
-// ParseGoal reads a goal. Times of what is served are bounded by times, the others by shares; rate, of what is served,
-// by a number a second.
+// ParseGoal parses a goal of the form MEASURE(CLASS) < BOUND or > BOUND. pNN (percentile, up to p100), max and mean of the
+// latencies of served requests take a duration, served, refused and failed a percentage, and rate, of served requests, a
+// number per second. An error quotes the text and names what was expected.
 func ParseGoal(text string) (Goal, error) {
 	m := goalForm.FindStringSubmatch(text)
 	if m == nil {
-		return Goal{}, fmt.Errorf(`%q is no goal; write one like "p99(own-read) < 50ms", "served(all) > 99%%" or "rate(all) > 400"`, text)
+		return Goal{}, fmt.Errorf(`%q is not a goal; write one like "p99(own-read) < 50ms", "served(all) > 99%%" or "rate(all) > 400"`, text)
 	}
-	g := Goal{Text: strings.TrimSpace(text), What: m[1], Class: strings.TrimSpace(m[2]), Less: m[3] == "<"}
+	g := Goal{Text: strings.TrimSpace(text), Measure: m[1], Class: strings.TrimSpace(m[2]), Below: m[3] == "<"}
 	var err error
-	switch g.What {
+	switch g.Measure {
 	case "served", "refused", "failed":
 		var digits string
 		var ok bool
@@ -42,19 +43,19 @@
 			g.Bound /= 100
 		}
 		if !ok || err != nil {
-			err = fmt.Errorf("%q: %s is bounded by a share, like 99%%", text, g.What)
+			err = fmt.Errorf("%q: the bound of %s must be a percentage, like 99%%", text, g.Measure)
 		}
 	case "rate":
 		if g.Bound, err = strconv.ParseFloat(m[4], 64); err != nil {
-			err = fmt.Errorf("%q: rate is bounded by a number a second", text)
+			err = fmt.Errorf("%q: the bound of rate must be a number per second", text)
 		}
 	default:
 		var d time.Duration
 		if d, err = time.ParseDuration(m[4]); err != nil {
-			err = fmt.Errorf("%q: %s is bounded by a time, like 50ms", text, g.What)
+			err = fmt.Errorf("%q: the bound of %s must be a duration, like 50ms", text, g.Measure)
 		}
-		if q, qerr := strconv.ParseFloat(strings.TrimPrefix(g.What, "p"), 64); qerr == nil && q > 100 {
-			err = fmt.Errorf("%q: there is no percentile over 100", text)
+		if q, qerr := strconv.ParseFloat(strings.TrimPrefix(g.Measure, "p"), 64); qerr == nil && q > 100 {
+			err = fmt.Errorf("%q: percentiles end at 100", text)
 		}
 		g.Bound = float64(d)
 	}
@@ -70,12 +71,12 @@
 	b.plan.Goals = append(b.plan.Goals, g)
 }
 
-// Met tells what a run came to and whether that is enough. Where nothing was served there are no times, and no goal on
-// them is met.
-func (g *Goal) Met(r *Result) (got string, met bool) {
-	t := r.Of(g.Class)
+// Evaluate returns the goal's measure of a run as text and whether the goal is met. A goal on latencies is not met if
+// nothing was served. The goal's class must be in the result.
+func (g *Goal) Evaluate(r *Result) (got string, met bool) {
+	t := r.Tally(g.Class)
 	v := 0.0
-	switch g.What {
+	switch g.Measure {
 	case "served":
 		v = t.share(Served)
 	case "refused":
@@ -83,18 +84,18 @@
 	case "failed":
 		v = t.share(Failed) + t.share(Unanswered) + t.share(NotSent)
 	case "rate":
-		v = float64(t.Counts[Served]) / r.Lasted.Seconds()
+		v = float64(t.Counts[Served]) / r.Elapsed.Seconds()
 	default:
 		if t.Counts[Served] == 0 {
 			return "nothing was served", false
 		}
-		v = t.time(g.What)
+		v = t.latency(g.Measure)
 	}
 	met = v > g.Bound
-	if g.Less {
+	if g.Below {
 		met = v < g.Bound
 	}
-	switch g.What {
+	switch g.Measure {
 	case "served", "refused", "failed":
 		return fmt.Sprintf("%.2f%%", 100*v), met
 	case "rate":
--- a/load/plan.go
+++ b/load/plan.go
@@ -1,6 +1,8 @@
-// Package load sends requests to drivers at a rate of its own, whether or not earlier ones were answered, and measures
-// each from the time at which it was due: a driver that falls behind does not slow the load that shows it (no
-// coordinated omission). A closed loop, in which a number of callers wait for their answers, is there on request.
+// Package load takes a plan, which names drivers, classes of requests, a rate and goals, and sends requests to the
+// drivers' gRPC front ends, in an open loop or, if the plan sets callers, in a closed loop. It returns latencies and
+// outcomes by class, and whether the goals were met; an open loop does not wait for answers and measures each request from
+// the time at which it was due, so that a slow driver does not slow the load and hide its latency (coordinated omission).
+// The command "umberladder load" calls it.
 package load
 
 import (
@@ -15,79 +17,79 @@
 	"umberladder/internal/lines"
 )
 
-// Plan is what is sent.
+// Plan describes the requests of a run and its goals.
 type Plan struct {
-	Drivers  []string // addresses
-	Slices   []string // drawn evenly
+	Drivers  []string // addresses, host:port
+	Slices   []string // drawn uniformly for each request
 	Shape    Shape
-	Rate     float64       // requests a second on average, open loop
-	Callers  int           // of a closed loop; 0 for an open one
-	For      time.Duration // after the warm-up
-	WarmUp   time.Duration // what is sent in it is not counted
-	Sessions int           // each keeps the token of its last answer by slice
-	Keys     int           // drawn for parameters
+	Rate     float64       // requests per second of the open loop, on average before Shape is applied
+	Callers  int           // callers of a closed loop; 0 for an open loop
+	For      time.Duration // length of the run after the warm-up
+	WarmUp   time.Duration // length of the warm-up, whose requests are not counted
+	Sessions int           // client sessions; each sends the token of its last answer
+	Keys     int           // number of keys that parameters are drawn from
 	Conns    int           // gRPC connections to each driver
-	MostOpen int           // calls without an answer; what is due beyond is counted as not sent
-	Client   string        // name that drivers know the load by, "" for its address
-	Seed     uint64
+	MaxOpen  int           // maximum of calls in flight; requests due beyond it count as not sent
+	Client   string        // client name sent to drivers; "" for none, so that they use the address
+	Seed     uint64        // of all random draws
 	Classes  []Class
 	Goals    []Goal
 }
 
 // Class is one class of requests.
 type Class struct {
-	Name       string
-	Share      float64 // of all
-	Statement  string
-	Parameters []Parameter
-	Timeout    time.Duration // 0 for the class's own deadline at the driver
-	Stream     bool
-	Key        bool // each request has an idempotency key of its own
+	Name           string
+	Share          float64 // of all requests, above 0 up to 1
+	Statement      string
+	Parameters     []Parameter
+	Timeout        time.Duration // of each request; 0 for the class's deadline at the driver
+	Stream         bool          // requests use ExecuteStream
+	IdempotencyKey bool          // each request carries a unique idempotency key
 }
 
-// Parameter is a value that is drawn or made for each request.
+// Parameter is a statement parameter.
 type Parameter struct {
 	Kind ParameterKind
-	Text string
-	Int  int64
+	Text string // of ParameterText
+	Int  int64  // of ParameterInt
 }
 
-// ParameterKind is how a value is made.
+// ParameterKind is the way a parameter's value is generated.
 type ParameterKind uint8
 
-// The ways to make a value.
+// The kinds of parameters.
 const (
-	ParameterText ParameterKind = iota // the same each time
-	ParameterInt                       // likewise
-	ParameterKey                       // a key drawn out of Plan.Keys
-	ParameterMark                      // a text that no other request has
+	ParameterText ParameterKind = iota // a constant text
+	ParameterInt                       // a constant integer
+	ParameterKey                       // a key drawn uniformly from the plan's keys
+	ParameterMark                      // a text unique to the request
 )
 
-// Shape is how the rate moves in time.
+// Shape is the course of the rate over time.
 type Shape struct {
-	Kind   ShapeKind
-	Times  float64       // ramp: at its end; burst, wave: at the top, each times the rate
-	Period time.Duration // burst, wave
-	Part   float64       // burst: of the period that it lasts
+	Kind     ShapeKind
+	Multiple float64       // peak rate as a multiple of the plan's rate; ramp reaches it at the end of the run
+	Period   time.Duration // of a burst or wave
+	Fraction float64       // length of a burst as a fraction of the period, above 0 up to 1
 }
 
-// ShapeKind is a form of load.
+// ShapeKind is the kind of a shape.
 type ShapeKind uint8
 
-// The forms of load.
+// The kinds of shapes.
 const (
-	Steady ShapeKind = iota
-	Ramp             // from the rate on to Times of it, evenly
-	Burst            // Times of the rate for Part of each Period
-	Wave             // between the rate and Times of it, as a sine
+	Steady ShapeKind = iota // constant rate
+	Ramp                    // linear, from the rate to its multiple
+	Burst                   // the multiple during the first fraction of each period, else the rate
+	Wave                    // sinusoidal between the rate and its multiple
 )
 
-// Defaults is a plan without drivers, slices and classes.
+// Defaults returns a plan with default values and without drivers, slices and classes.
 func Defaults() *Plan {
-	return &Plan{Rate: 100, For: 30 * time.Second, WarmUp: 5 * time.Second, Sessions: 100, Keys: 1000, Conns: 1, MostOpen: 20000, Seed: 1}
+	return &Plan{Rate: 100, For: 30 * time.Second, WarmUp: 5 * time.Second, Sessions: 100, Keys: 1000, Conns: 1, MaxOpen: 20000, Seed: 1}
 }
 
-// Read reads the plan at a path.
+// Read reads and parses the plan file at a path. Errors are those of reading the file and of Parse.
 func Read(path string) (*Plan, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -96,14 +98,15 @@
 	return Parse(path, string(text))
 }
 
-// Parse reads a plan in the form of the settings. The error names every mistake with file, line and column.
+// Parse parses a plan in the syntax of settings files; file is its name in errors. The error lists every mistake with file,
+// line and column. The plan may lack drivers and slices; see Plan.Check.
 func Parse(file, text string) (*Plan, error) {
 	b := &binder{Parser: lines.NewParser(file, text), plan: Defaults(), seen: map[string]bool{}}
 	for _, d := range b.Tree() {
-		b.top(d)
+		b.topLevel(d)
 	}
 	if b.Err() == nil {
-		b.whole()
+		b.checkPlan()
 	}
 	if err := b.Err(); err != nil {
 		return nil, err
@@ -117,25 +120,25 @@
 	seen map[string]bool
 }
 
-var topNames = []string{"driver", "slice", "rate", "callers", "shape", "for", "warm-up", "sessions", "keys", "connections", "most-open", "client", "seed", "class", "require"}
+var planDirectives = []string{"driver", "slice", "rate", "callers", "shape", "for", "warm-up", "sessions", "keys", "connections", "most-open", "client", "seed", "class", "require"}
 
-func (b *binder) top(d lines.Directive) {
+func (b *binder) topLevel(d lines.Directive) {
 	p, name := b.plan, d.Name.Text
 	if b.seen[name] && name != "class" && name != "require" {
-		b.Problem(d.Name, "%s was set already", name)
+		b.Problem(d.Name, "%s is set twice", name)
 		return
 	}
 	b.seen[name] = true
 	switch name {
 	case "driver":
-		for _, w := range b.some(d) {
+		for _, w := range b.values(d) {
 			if _, _, err := net.SplitHostPort(w.Text); err != nil {
-				b.Problem(w, "driver: %q is no host:port", w.Text)
+				b.Problem(w, "driver: %q is not of the form host:port", w.Text)
 			}
 			p.Drivers = append(p.Drivers, w.Text)
 		}
 	case "slice":
-		for _, w := range b.some(d) {
+		for _, w := range b.values(d) {
 			p.Slices = append(p.Slices, w.Text)
 		}
 	case "rate":
@@ -145,9 +148,9 @@
 	case "shape":
 		b.shape(d)
 	case "for":
-		b.period(d, &p.For, time.Millisecond)
+		b.durationArg(d, &p.For, time.Millisecond)
 	case "warm-up":
-		b.period(d, &p.WarmUp, 0)
+		b.durationArg(d, &p.WarmUp, 0)
 	case "sessions":
 		b.Count(d, &p.Sessions, 1, 1e7)
 	case "keys":
@@ -155,7 +158,7 @@
 	case "connections":
 		b.Count(d, &p.Conns, 1, 10000)
 	case "most-open":
-		b.Count(d, &p.MostOpen, 1, 1e6)
+		b.Count(d, &p.MaxOpen, 1, 1e6)
 	case "client":
 		if w, ok := b.One(d); ok {
 			p.Client = w.Text
@@ -172,37 +175,37 @@
 			b.goal(w)
 		}
 	default:
-		b.Unknown(d.Name, topNames)
+		b.Unknown(d.Name, planDirectives)
 	}
 }
 
-func (b *binder) some(d lines.Directive) []lines.Word {
+func (b *binder) values(d lines.Directive) []lines.Word {
 	if len(d.Args) == 0 || d.Open {
-		b.Problem(d.Name, "%s wants one or more values", d.Name.Text)
+		b.Problem(d.Name, "%s takes one or more values", d.Name.Text)
 		return nil
 	}
 	return d.Args
 }
 
-func (b *binder) period(d lines.Directive, at *time.Duration, least time.Duration) {
+func (b *binder) durationArg(d lines.Directive, target *time.Duration, least time.Duration) {
 	if w, ok := b.One(d); ok {
-		b.duration(w, at, least)
+		b.duration(w, target, least)
 	}
 }
 
-func (b *binder) duration(w lines.Word, at *time.Duration, least time.Duration) {
+func (b *binder) duration(w lines.Word, target *time.Duration, least time.Duration) {
 	v, err := time.ParseDuration(w.Text)
 	if err != nil || v < least {
-		b.Problem(w, "%q is no time of at least %v; write one like 500ms or 30s", w.Text, least)
+		b.Problem(w, "%q is not a duration of at least %v; write one like 500ms or 30s", w.Text, least)
 		return
 	}
-	*at = v
+	*target = v
 }
 
 // shape reads "steady", "ramp TIMES", "burst TIMES PERIOD PART%" or "wave TIMES PERIOD".
 func (b *binder) shape(d lines.Directive) {
 	if len(d.Args) == 0 {
-		b.Problem(d.Name, "shape wants steady, ramp, burst or wave")
+		b.Problem(d.Name, "shape takes steady, ramp, burst or wave")
 		return
 	}
 	forms := map[string]struct {
@@ -220,14 +223,14 @@
 		var err error
 		switch i {
 		case 0:
-			s.Times, err = strconv.ParseFloat(w.Text, 64)
-			if err != nil || s.Times <= 0 || s.Times > 1000 {
-				b.Problem(w, "shape: %q is no multiple of the rate", w.Text)
+			s.Multiple, err = strconv.ParseFloat(w.Text, 64)
+			if err != nil || s.Multiple <= 0 || s.Multiple > 1000 {
+				b.Problem(w, "shape: %q is not a multiple of the rate, above 0 up to 1000", w.Text)
 			}
 		case 1:
 			b.duration(w, &s.Period, time.Millisecond)
 		case 2:
-			if s.Part, err = percent(w.Text); err != nil {
+			if s.Fraction, err = percent(w.Text); err != nil {
 				b.Problem(w, "shape: %v", err)
 			}
 		}
@@ -239,16 +242,16 @@
 	digits, ok := strings.CutSuffix(text, "%")
 	v, err := strconv.ParseFloat(digits, 64)
 	if !ok || err != nil || !(v > 0 && v <= 100) {
-		return 0, fmt.Errorf("%q is no share; write one like 25%%", text)
+		return 0, fmt.Errorf("%q is not a share; write one like 25%%", text)
 	}
 	return v / 100, nil
 }
 
-var classNames = []string{"share", "statement", "parameter", "timeout", "stream", "keyed"}
+var classDirectives = []string{"share", "statement", "parameter", "timeout", "stream", "keyed"}
 
 func (b *binder) class(d lines.Directive) {
 	if len(d.Args) != 1 || !d.Open {
-		b.Problem(d.Name, "class wants a name and a block")
+		b.Problem(d.Name, "class takes a name and a block")
 		return
 	}
 	c := Class{Name: d.Args[0].Text}
@@ -268,23 +271,23 @@
 		case "parameter":
 			b.parameter(&c, line)
 		case "timeout":
-			b.period(line, &c.Timeout, time.Millisecond)
+			b.durationArg(line, &c.Timeout, time.Millisecond)
 		case "stream", "keyed":
 			if len(line.Args) > 0 || line.Open {
-				b.Problem(line.Name, "%s stands alone", line.Name.Text)
+				b.Problem(line.Name, "%s takes no arguments", line.Name.Text)
 			}
-			c.Stream, c.Key = c.Stream || line.Name.Text == "stream", c.Key || line.Name.Text == "keyed"
+			c.Stream, c.IdempotencyKey = c.Stream || line.Name.Text == "stream", c.IdempotencyKey || line.Name.Text == "keyed"
 		default:
-			b.Unknown(line.Name, classNames)
+			b.Unknown(line.Name, classDirectives)
 		}
 	}
 	for _, o := range b.plan.Classes {
 		if o.Name == c.Name {
-			b.Problem(d.Args[0], "class %s stands twice", c.Name)
+			b.Problem(d.Args[0], "class %s is defined twice", c.Name)
 		}
 	}
 	if c.Statement == "" || c.Share == 0 {
-		b.Problem(d.Name, "class %s wants a share and a statement", c.Name)
+		b.Problem(d.Name, "class %s needs a share and a statement", c.Name)
 	}
 	b.plan.Classes = append(b.plan.Classes, c)
 }
@@ -318,8 +321,8 @@
 	c.Parameters = append(c.Parameters, p)
 }
 
-// whole checks what one line alone can't say. Drivers and slices may come later, from the command line.
-func (b *binder) whole() {
+// checkPlan checks the plan as a whole. Drivers and slices may be added later, from the command line.
+func (b *binder) checkPlan() {
 	p, end := b.plan, lines.Word{Line: b.Lines(), Column: 1}
 	sum := 0.0
 	for _, c := range p.Classes {
@@ -331,14 +334,15 @@
 	case sum < 0.999 || sum > 1.001:
 		b.Problem(end, "the classes' shares add up to %.1f%%, not to 100%%", 100*sum)
 	case p.Callers > 0 && p.Shape.Kind != Steady:
-		b.Problem(end, "callers wait for their answers; a shape is for a rate")
+		b.Problem(end, "a shape applies only to a rate, not to callers")
 	}
-	if err := p.goals(); err != nil {
+	if err := p.checkGoals(); err != nil {
 		b.Problem(end, "%v", err)
 	}
 }
 
-// Check tells what a plan lacks that Run needs.
+// Check returns an error if the plan lacks something that Run needs: a driver, a slice, a positive rate or callers, a
+// positive run length, a warm-up that is not negative, or a class that a goal names.
 func (p *Plan) Check() error {
 	switch {
 	case len(p.Drivers) == 0:
@@ -346,12 +350,12 @@
 	case len(p.Slices) == 0:
 		return fmt.Errorf("load: no slice is set, neither in the plan nor by --slice")
 	case !(p.Rate > 0) && p.Callers <= 0 || p.For <= 0 || p.WarmUp < 0:
-		return fmt.Errorf("load: rate or callers, and the time that counts, must be over zero")
+		return fmt.Errorf("load: rate or callers, and the time after the warm-up, must be above zero")
 	}
-	return p.goals()
+	return p.checkGoals()
 }
 
-func (p *Plan) goals() error {
+func (p *Plan) checkGoals() error {
 	for _, g := range p.Goals {
 		if g.Class != All && !slices.ContainsFunc(p.Classes, func(c Class) bool { return c.Name == g.Class }) {
 			return fmt.Errorf("require %q: class %q is not in the plan", g.Text, g.Class)
--- a/load/run.go
+++ b/load/run.go
@@ -25,37 +25,38 @@
 	pb "umberladder/proto/umberladder/v1"
 )
 
-// givesUp is when a call ends that has no timeout of its own: a driver's own deadlines are shorter.
-const givesUp = 30 * time.Second
+// defaultCallTimeout is the deadline of a call without a timeout in the plan. Drivers' own deadlines are shorter.
+const defaultCallTimeout = 30 * time.Second
 
-// runner is one run under way.
+// runner is the state of one run.
 type runner struct {
-	plan    *Plan
-	clients []pb.DriverClient
-	begin   time.Time // of the warm-up
-	counts  time.Time // from which on requests count
-	open    atomic.Int64
-	marks   atomic.Uint64
-	calls   sync.WaitGroup
+	plan      *Plan
+	clients   []pb.DriverClient
+	started   time.Time // start of the warm-up
+	countFrom time.Time // end of the warm-up; requests due from then on count
+	openCalls atomic.Int64
+	lastMark  atomic.Uint64 // number of the last request
+	calls     sync.WaitGroup
 
 	mu       sync.Mutex
-	rng      *rand.Rand // of what requests are made of
-	idle     []*session
+	rng      *rand.Rand // for the content of requests
+	idle     []*session // sessions without a call in flight
 	result   *Result
-	interval *Tally // since the last progress line
+	interval *Tally // requests ended since the last progress line
 }
 
-// session keeps the token of its last answer. It has one call under way at a time.
+// session is a client session that sends the token of its last answer. It has at most one call in flight.
 type session struct {
 	name  string
 	token string
 }
 
-// Run sends what a plan says and returns once everything has ended. A line of progress goes to w each second, if w is
-// not nil. An error means that nothing could be sent at all; drivers that don't answer are a result.
+// Run sends the requests of a plan and blocks until all calls have ended, at most 30 s or the longest class timeout after
+// the last one was due. It writes a line of progress to w each second, unless w is nil. Cancelling ctx ends the run early.
+// An error means that a driver's address is invalid and nothing was sent; drivers that don't answer are a result.
 func Run(ctx context.Context, p *Plan, w io.Writer) (*Result, error) {
 	r := &runner{plan: p, rng: rand.New(rand.NewPCG(p.Seed, 0x6c6f6164)), interval: newTally(),
-		result: &Result{Classes: map[string]*Tally{}, Whole: newTally(), Late: hdrhistogram.New(1, longest, 3)}}
+		result: &Result{Classes: map[string]*Tally{}, Total: newTally(), SendDelay: hdrhistogram.New(1, maxRecordedMicros, 3)}}
 	for _, c := range p.Classes {
 		r.result.Classes[c.Name] = newTally()
 	}
@@ -74,51 +75,52 @@
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	r.begin = time.Now()
-	r.counts = r.begin.Add(p.WarmUp)
-	told := make(chan struct{})
-	go func() { defer close(told); r.progress(ctx, w) }()
+	r.started = time.Now()
+	r.countFrom = r.started.Add(p.WarmUp)
+	progressDone := make(chan struct{})
+	go func() { defer close(progressDone); r.progress(ctx, w) }()
 	if p.Callers > 0 {
-		r.closed(ctx)
+		r.closedLoop(ctx)
 	} else {
 		r.openLoop(ctx)
 	}
-	r.result.Lasted = max(time.Since(r.counts), time.Millisecond)
-	r.calls.Wait() // each call ends by its own time
+	r.result.Elapsed = max(time.Since(r.countFrom), time.Millisecond)
+	r.calls.Wait() // ends by the calls' deadlines
 	cancel()
-	<-told
+	<-progressDone
 	for _, g := range p.Goals {
-		got, met := g.Met(r.result)
-		r.result.Goals = append(r.result.Goals, Verdict{g, got, met})
+		got, met := g.Evaluate(r.result)
+		r.result.Goals = append(r.result.Goals, GoalResult{g, got, met})
 	}
 	return r.result, nil
 }
 
-// at is the rate at a time since the beginning of what counts; in the warm-up it is the plan's.
-func (p *Plan) at(since time.Duration) float64 {
+// rateAt returns the rate in requests per second at a time since the end of the warm-up; during the warm-up, at negative
+// times, it is the plan's rate.
+func (p *Plan) rateAt(since time.Duration) float64 {
 	if since < 0 {
 		return p.Rate
 	}
 	s := &p.Shape
 	switch s.Kind {
 	case Ramp:
-		return p.Rate * (1 + (s.Times-1)*min(1, since.Seconds()/p.For.Seconds()))
+		return p.Rate * (1 + (s.Multiple-1)*min(1, since.Seconds()/p.For.Seconds()))
 	case Burst:
-		if math.Mod(since.Seconds(), s.Period.Seconds()) < s.Part*s.Period.Seconds() {
-			return p.Rate * s.Times
+		if math.Mod(since.Seconds(), s.Period.Seconds()) < s.Fraction*s.Period.Seconds() {
+			return p.Rate * s.Multiple
 		}
 	case Wave:
-		return p.Rate * (1 + (s.Times-1)*(1-math.Cos(2*math.Pi*since.Seconds()/s.Period.Seconds()))/2)
+		return p.Rate * (1 + (s.Multiple-1)*(1-math.Cos(2*math.Pi*since.Seconds()/s.Period.Seconds()))/2)
 	}
 	return p.Rate
 }
 
-// openLoop sends at times that do not depend on answers.
+// openLoop sends requests at random times, independent of answers: the intervals are exponentially distributed.
 func (r *runner) openLoop(ctx context.Context) {
 	rng := rand.New(rand.NewPCG(r.plan.Seed, 0x74696d6573))
-	end := r.counts.Add(r.plan.For)
-	for due := r.begin; ; {
-		due = due.Add(time.Duration(rng.ExpFloat64() / r.plan.at(due.Sub(r.counts)) * float64(time.Second)))
+	end := r.countFrom.Add(r.plan.For)
+	for due := r.started; ; {
+		due = due.Add(time.Duration(rng.ExpFloat64() / r.plan.rateAt(due.Sub(r.countFrom)) * float64(time.Second)))
 		if due.After(end) || ctx.Err() != nil {
 			return
 		}
@@ -129,35 +131,36 @@
 				return
 			}
 		}
-		class := r.draw()
-		if r.open.Load() >= int64(r.plan.MostOpen) {
-			r.note(class, due, NotSent, "")
+		class := r.drawClass()
+		if r.openCalls.Load() >= int64(r.plan.MaxOpen) {
+			r.record(class, due, NotSent, "")
 			continue
 		}
-		r.open.Add(1)
+		r.openCalls.Add(1)
 		r.calls.Go(func() {
-			defer r.open.Add(-1)
-			r.late(due)
+			defer r.openCalls.Add(-1)
+			r.recordSendDelay(due)
 			r.call(ctx, class, due)
 		})
 	}
 }
 
-// closed has callers that wait for their answers. What a slow answer delays is not sent and not measured.
-func (r *runner) closed(ctx context.Context) {
-	end := r.counts.Add(r.plan.For)
+// closedLoop runs callers that each wait for an answer before the next request. Requests that a slow answer delays are
+// neither sent nor measured.
+func (r *runner) closedLoop(ctx context.Context) {
+	end := r.countFrom.Add(r.plan.For)
 	for range r.plan.Callers {
 		r.calls.Go(func() {
 			for now := time.Now(); now.Before(end) && ctx.Err() == nil; now = time.Now() {
-				r.call(ctx, r.draw(), now)
+				r.call(ctx, r.drawClass(), now)
 			}
 		})
 	}
 	r.calls.Wait()
 }
 
-// draw is the class of the next request.
-func (r *runner) draw() *Class {
+// drawClass draws the class of the next request by the classes' shares.
+func (r *runner) drawClass() *Class {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	at := r.rng.Float64()
@@ -169,9 +172,9 @@
 	return &r.plan.Classes[len(r.plan.Classes)-1]
 }
 
-// request is one request to make, with the session that it goes out under.
+// request returns the next request of a class, an idle session to send it under, or a new one, and a client.
 func (r *runner) request(c *Class) (*pb.ExecuteRequest, *session, pb.DriverClient) {
-	mark := "m" + strconv.FormatUint(r.plan.Seed, 36) + "-" + strconv.FormatUint(r.marks.Add(1), 36)
+	mark := "m" + strconv.FormatUint(r.plan.Seed, 36) + "-" + strconv.FormatUint(r.lastMark.Add(1), 36)
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	s := &session{name: mark}
@@ -193,7 +196,7 @@
 		}
 		req.Parameters = append(req.Parameters, v)
 	}
-	if c.Key {
+	if c.IdempotencyKey {
 		req.IdempotencyKey = mark
 	}
 	if c.Timeout > 0 {
@@ -202,10 +205,10 @@
 	return req, s, r.clients[r.rng.IntN(len(r.clients))]
 }
 
-// call sends one request and notes what became of it.
+// call sends one request and records its outcome.
 func (r *runner) call(ctx context.Context, c *Class, due time.Time) {
 	req, s, client := r.request(c)
-	limit := givesUp
+	limit := defaultCallTimeout
 	if c.Timeout > 0 {
 		limit = c.Timeout
 	}
@@ -218,14 +221,14 @@
 	if err == nil {
 		s.token = token
 	}
-	outcome, text := judge(err)
+	outcome, text := classify(err)
 	if ctx.Err() != nil && errors.Is(context.Cause(ctx), context.Canceled) {
-		text = "the load ended first"
+		text = "run ended before the answer"
 	}
 	r.mu.Lock()
 	r.idle = append(r.idle, s)
 	r.mu.Unlock()
-	r.note(c, due, outcome, text)
+	r.record(c, due, outcome, text)
 }
 
 func execute(ctx context.Context, client pb.DriverClient, req *pb.ExecuteRequest, stream bool) (token string, err error) {
@@ -246,8 +249,8 @@
 	return token, err
 }
 
-// judge tells what an answer means to its client.
-func judge(err error) (Outcome, string) {
+// classify returns the outcome for a call's error and the error's text.
+func classify(err error) (Outcome, string) {
 	if err == nil {
 		return Served, ""
 	}
@@ -270,28 +273,28 @@
 	return Unanswered, text
 }
 
-func (r *runner) late(due time.Time) {
+func (r *runner) recordSendDelay(due time.Time) {
 	late := time.Since(due)
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if !due.Before(r.counts) {
-		r.result.Late.RecordValue(min(max(0, late.Microseconds()), longest))
+	if !due.Before(r.countFrom) {
+		r.result.SendDelay.RecordValue(min(max(0, late.Microseconds()), maxRecordedMicros))
 	}
 }
 
-func (r *runner) note(c *Class, due time.Time, o Outcome, text string) {
+func (r *runner) record(c *Class, due time.Time, o Outcome, text string) {
 	took := time.Since(due)
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.interval.add(o, took, "")
-	if due.Before(r.counts) {
+	if due.Before(r.countFrom) {
 		return
 	}
 	r.result.Classes[c.Name].add(o, took, text)
-	r.result.Whole.add(o, took, text)
+	r.result.Total.add(o, took, text)
 }
 
-// progress writes a line each second.
+// progress writes a line of counts and latencies each second until ctx ends.
 func (r *runner) progress(ctx context.Context, w io.Writer) {
 	if w == nil {
 		return
@@ -309,11 +312,11 @@
 		r.interval = newTally()
 		r.mu.Unlock()
 		phase := ""
-		if time.Now().Before(r.counts) {
+		if time.Now().Before(r.countFrom) {
 			phase = "  (warm-up)"
 		}
-		fmt.Fprintf(w, "%4.0fs  served %d  refused %d  other %d  open %d  p50 %v  p99 %v%s\n", time.Since(r.begin).Seconds(), t.Counts[Served], t.Counts[Refused],
-			t.sum()-t.Counts[Served]-t.Counts[Refused], r.open.Load(), time.Duration(t.time("p50")).Round(10*time.Microsecond),
-			time.Duration(t.time("p99")).Round(10*time.Microsecond), phase)
+		fmt.Fprintf(w, "%4.0fs  served %d  refused %d  other %d  open %d  p50 %v  p99 %v%s\n", time.Since(r.started).Seconds(), t.Counts[Served], t.Counts[Refused],
+			t.sum()-t.Counts[Served]-t.Counts[Refused], r.openCalls.Load(), time.Duration(t.latency("p50")).Round(10*time.Microsecond),
+			time.Duration(t.latency("p99")).Round(10*time.Microsecond), phase)
 	}
 }
