--- a/load/goal.go
+++ b/load/goal.go
@@ -10,7 +10,7 @@
 	"umberladder/internal/lines"
 )
 
-// All stands for all classes together in goals and results.
+// All is the name for all classes together in goals and results.
 const All = "all"
 
 // Goal is a bound on a measure of a run, as "p99(own-read) < 50ms" or "served(write) > 99%".
--- a/load/result.go
+++ b/load/result.go
@@ -132,12 +132,12 @@
 		for _, c := range t.Counts {
 			fmt.Fprintf(w, "%d\t", c)
 		}
-		for _, what := range []string{"p50", "p90", "p99", "p99.9", "max"} {
+		for _, measure := range []string{"p50", "p90", "p99", "p99.9", "max"} {
 			if t.Counts[Served] == 0 {
 				fmt.Fprint(w, "-\t")
 				continue
 			}
-			fmt.Fprintf(w, "%v\t", time.Duration(t.latency(what)).Round(10*time.Microsecond))
+			fmt.Fprintf(w, "%v\t", time.Duration(t.latency(measure)).Round(10*time.Microsecond))
 		}
 		fmt.Fprintln(w)
 	}
--- a/standin/catalog/member.go
+++ b/standin/catalog/member.go
@@ -1,8 +1,7 @@
-// Package catalog simulates on loopback what a driver on the operators' shared platform talks to: members, which take
-// simple queries of the PostgreSQL protocol, the discovery agent, which takes member states from the caller, and the
-// clients. Members answer with fixed values, without keeping data, and record the requests that reach them; the agent
-// serves the list of members over HTTP; and the client functions return request texts and parsed replies. The tests of
-// package platform and the package lab/soak call it, and inject faults.
+// Package catalog simulates on loopback the peers of a driver on the operators' shared platform: members, the discovery
+// agent and clients. The caller sets member states, scripts and faults; members answer simple queries of the PostgreSQL
+// protocol with fixed values and record the requests, the agent serves the member list over HTTP, and the client functions
+// return request texts and parsed replies. The tests of package platform and the package lab/soak call it.
 package catalog
 
 import (
--- a/standin/log.go
+++ b/standin/log.go
@@ -114,7 +114,7 @@
 	return "", 0, false
 }
 
-// takeSnapshot returns a snapshot of the data that the node shows now, or earlier data while reads are to be stale.
+// takeSnapshot returns a snapshot of the data that the node shows now, or of older data while stale reads are injected.
 func (n *Node) takeSnapshot() snapshot {
 	age := n.staleness()
 	n.group.mu.Lock()
@@ -186,7 +186,7 @@
 }
 
 // Log returns the commits on the current timeline in log order, and the commits that are not part of it: a crash or a
-// promotion lost them, or a node logged them on a branch of its own. Values must be unique to tell commits apart.
+// promotion lost them, or a node logged them on a branch of its own. Commits are matched by value, so values must be unique.
 func (g *Group) Log() (kept, lost []Commit) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/standin/snapshot_test.go
+++ b/standin/snapshot_test.go
@@ -71,15 +71,15 @@
 	if v := read(t, p, "a"); v != "" {
 		t.Errorf("the primary shows %q while a standby has not replayed it", v)
 	}
-	if shown, over := nodes[1].reportedSnapshot(t).Next, nodes[0].reportedSnapshot(t).Oldest; shown <= over {
-		t.Errorf("the standby shows transactions below %d, the primary reports none in progress below %d", shown, over)
+	if next, oldest := nodes[1].reportedSnapshot(t).Next, nodes[0].reportedSnapshot(t).Oldest; next <= oldest {
+		t.Errorf("the standby shows transactions below %d, the primary reports none in progress below %d", next, oldest)
 	}
 	nodes[2].Pause(false)
 	if err := <-done; err != nil || read(t, p, "a") != "one" {
 		t.Errorf("after the write was answered: %v, read %q", err, read(t, p, "a"))
 	}
-	if shown, over := nodes[1].reportedSnapshot(t).Next, nodes[0].reportedSnapshot(t).Oldest; shown > over {
-		t.Errorf("after the commit: the standby shows transactions below %d, the primary reports none in progress below %d", shown, over)
+	if next, oldest := nodes[1].reportedSnapshot(t).Next, nodes[0].reportedSnapshot(t).Oldest; next > oldest {
+		t.Errorf("after the commit: the standby shows transactions below %d, the primary reports none in progress below %d", next, oldest)
 	}
 }
 
--- a/standin/sql.go
+++ b/standin/sql.go
@@ -124,7 +124,7 @@
 		s.executing = st
 	}
 	if s.repeatableRead && s.snap == nil {
-		snap := s.node.takeSnapshot() // the transaction's first statement takes it, of whatever kind
+		snap := s.node.takeSnapshot() // taken by the transaction's first statement, of any kind
 		s.snap = &snap
 	}
 	if !s.node.waitResponsive(s.process) {
