--- a/cmd/umberladder/explore.go
+++ b/cmd/umberladder/explore.go
@@ -20,33 +20,33 @@
 	return cmd
 }
 
-func settingFlags(cmd *cobra.Command, set *explore.Setting) {
+func settingFlags(cmd *cobra.Command, cfg *explore.Config) {
 	f := cmd.Flags()
-	f.IntVar(&set.Clients, "clients", set.Clients, "clients, each with a script of requests")
-	f.IntVar(&set.Nodes, "nodes", set.Nodes, "nodes of the slice, the primary among them")
-	f.IntVar(&set.Depth, "depth", set.Depth, "events of a path")
-	f.IntVar(&set.Resets, "resets", set.Resets, "connections that may be cut")
-	f.IntVar(&set.Drains, "drains", set.Drains, "nodes that the list may call away")
-	f.IntVar(&set.Crashes, "crashes", set.Crashes, "primaries that may die, another being promoted")
-	f.IntVar(&set.Zombies, "zombies", set.Zombies, "primaries that may be deposed without noticing")
-	f.IntVar(&set.Leaves, "leaves", set.Leaves, "clients that may leave")
-	f.StringSliceVar(&set.Script, "script", set.Script, "the classes of each client's requests, one after the other: article, own, fresh, write, post")
+	f.IntVar(&cfg.Clients, "clients", cfg.Clients, "clients, each with a script of requests")
+	f.IntVar(&cfg.Nodes, "nodes", cfg.Nodes, "nodes of the slice, the primary among them")
+	f.IntVar(&cfg.Depth, "depth", cfg.Depth, "events of a path")
+	f.IntVar(&cfg.Resets, "resets", cfg.Resets, "connections that may be cut")
+	f.IntVar(&cfg.Drains, "drains", cfg.Drains, "nodes that the list may call away")
+	f.IntVar(&cfg.Crashes, "crashes", cfg.Crashes, "primaries that may die, another being promoted")
+	f.IntVar(&cfg.StalePrimaries, "zombies", cfg.StalePrimaries, "primaries that may be deposed without noticing")
+	f.IntVar(&cfg.Disconnects, "leaves", cfg.Disconnects, "clients that may leave")
+	f.StringSliceVar(&cfg.Script, "script", cfg.Script, "the classes of each client's requests, one after the other: article, own, fresh, write, post")
 }
 
 func exploreRun() *cobra.Command {
-	set := explore.Default()
+	cfg := explore.Default()
 	var o explore.Options
 	var write string
 	cmd := &cobra.Command{Use: "run", Short: "Every order up to a depth; exit 1 with the shortest story if a property breaks", Args: cobra.NoArgs}
-	settingFlags(cmd, &set)
+	settingFlags(cmd, &cfg)
 	f := cmd.Flags()
 	f.IntVar(&o.Procs, "procs", runtime.GOMAXPROCS(0), "at once; what is found is the same whatever it is")
-	f.IntVar(&o.Endings, "endings", 5, "one new state in so many is played to its quiet end")
-	f.IntVar(&o.Most, "states", 0, "end after the level in which so many are reached; 0: no bound")
-	f.DurationVar(&o.Limit, "limit", 0, "likewise after so long")
+	f.IntVar(&o.EndingInterval, "endings", 5, "one new state in so many is played to its quiet end")
+	f.IntVar(&o.MaxStates, "states", 0, "end after the level in which so many are reached; 0: no bound")
+	f.DurationVar(&o.TimeLimit, "limit", 0, "likewise after so long")
 	f.StringVar(&write, "write", "", "file for the story")
 	cmd.RunE = func(cmd *cobra.Command, _ []string) error {
-		r, err := explore.Run(cmd.Context(), set, o, func(depth, states int) { fmt.Fprintf(cmd.ErrOrStderr(), "depth %d: %d states\n", depth, states) })
+		r, err := explore.Run(cmd.Context(), cfg, o, func(depth, states int) { fmt.Fprintf(cmd.ErrOrStderr(), "depth %d: %d states\n", depth, states) })
 		if err != nil {
 			return err
 		}
@@ -55,11 +55,11 @@
 		if r.Complete {
 			complete = ", complete"
 		}
-		fmt.Fprintf(w, "%d clients, %d nodes: %d states, %d transitions, depth %d%s, %d endings, %v\n", set.Clients, set.Nodes, r.States, r.Transitions, r.Depth, complete, r.Endings, r.Took.Round(time.Millisecond))
-		fmt.Fprintf(w, "new states by depth: %v\nseen: %s\n%d of %d moves of connections and attempts were made\n", r.ByDepth, strings.Join(r.Seen, ", "), r.Moves, len(driver.Moves()))
+		fmt.Fprintf(w, "%d clients, %d nodes: %d states, %d transitions, depth %d%s, %d endings, %v\n", cfg.Clients, cfg.Nodes, r.States, r.Transitions, r.Depth, complete, r.Endings, r.Elapsed.Round(time.Millisecond))
+		fmt.Fprintf(w, "new states by depth: %v\nseen: %s\n%d of %d moves of connections and attempts were made\n", r.ByDepth, strings.Join(r.Seen, ", "), r.LifecycleTransitions, len(driver.Moves()))
 		n := len(r.Violations)
 		if n > 0 {
-			if err := tellStory(cmd, set, r.Violations[0], write); err != nil {
+			if err := replayViolation(cmd, cfg, r.Violations[0], write); err != nil {
 				return err
 			}
 		}
@@ -75,26 +75,26 @@
 }
 
 func exploreWalk() *cobra.Command {
-	set := explore.Setting{Clients: 6, Nodes: 5, Depth: 120, Resets: 5, Drains: 2, Crashes: 2, Zombies: 1, Leaves: 2, Script: []string{"write own write own", "post own post", "article fresh own write", "fresh write post own"}}
+	cfg := explore.Config{Clients: 6, Nodes: 5, Depth: 120, Resets: 5, Drains: 2, Crashes: 2, StalePrimaries: 1, Disconnects: 2, Script: []string{"write own write own", "post own post", "article fresh own write", "fresh write post own"}}
 	var seed uint64
 	var walks, procs int
 	var write string
 	cmd := &cobra.Command{Use: "walk", Short: "Random ways through larger settings; exit 1 with a short story if a property breaks", Args: cobra.NoArgs}
-	settingFlags(cmd, &set)
+	settingFlags(cmd, &cfg)
 	f := cmd.Flags()
 	f.Uint64Var(&seed, "seed", 1, "settles all that is drawn")
 	f.IntVar(&walks, "walks", 2000, "ways to take")
 	f.IntVar(&procs, "procs", runtime.GOMAXPROCS(0), "at once")
 	f.StringVar(&write, "write", "", "file for the story")
 	cmd.RunE = func(cmd *cobra.Command, _ []string) error {
-		v, steps, err := explore.Walk(cmd.Context(), set, seed, walks, procs, nil)
+		v, steps, err := explore.Walk(cmd.Context(), cfg, seed, walks, procs, nil)
 		if err != nil {
 			return err
 		}
 		w, n := cmd.OutOrStdout(), 0
 		fmt.Fprintf(w, "%d walks, %d events\n", walks, steps)
 		if v != nil {
-			if err := tellStory(cmd, set, *v, write); err != nil {
+			if err := replayViolation(cmd, cfg, *v, write); err != nil {
 				return err
 			}
 			n++
@@ -110,17 +110,17 @@
 	return cmd
 }
 
-func tellStory(cmd *cobra.Command, set explore.Setting, v explore.Violation, write string) error {
+func replayViolation(cmd *cobra.Command, cfg explore.Config, v explore.Violation, write string) error {
 	w := cmd.OutOrStdout()
-	fmt.Fprintf(w, "broken: %s\n", v.What)
-	if _, err := explore.Tell(w, set, v.Events); err != nil {
+	fmt.Fprintf(w, "broken: %s\n", v.Message)
+	if _, err := explore.Replay(w, cfg, v.Events); err != nil {
 		return err
 	}
 	if write == "" {
 		return nil
 	}
 	fmt.Fprintf(w, "play it again with: umberladder explore replay %s\n", write)
-	return os.WriteFile(write, []byte(explore.Story(set, v)), 0o644)
+	return os.WriteFile(write, []byte(explore.FormatTrace(cfg, v)), 0o644)
 }
 
 func exploreReplay() *cobra.Command {
@@ -129,11 +129,11 @@
 		Short: "Play a story again and tell what happens; exit 1 if it breaks a property",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			set, events, err := explore.ReadStory(args[0])
+			cfg, events, err := explore.ReadTrace(args[0])
 			if err != nil {
 				return err
 			}
-			broken, err := explore.Tell(cmd.OutOrStdout(), set, events)
+			broken, err := explore.Replay(cmd.OutOrStdout(), cfg, events)
 			if err != nil {
 				return fmt.Errorf("%s: %w", args[0], err)
 			}
--- a/explore/explore.go
+++ b/explore/explore.go
@@ -17,7 +17,7 @@
 
 func contains(s, part string) bool { return strings.Contains(s, part) }
 
-// Path is a state as the events that lead to it: each is the place of one among those that are enabled then.
+// path identifies a state by the events that lead to it. Each event is an index into the events enabled at that point.
 type path struct {
 	parent *path
 	event  uint16
@@ -33,43 +33,44 @@
 	return all
 }
 
-// Violation is a property that does not hold, with the shortest story that shows it.
+// Violation is a property that does not hold and the names of the events that show it.
 type Violation struct {
-	What   string
-	Events []string
+	Message string // the property, a colon and the details
+	Events  []string
 }
 
-// Report is what an exploration came to.
+// Report is the result of an exploration.
 type Report struct {
-	Setting     Setting
-	States      int // distinct
-	Transitions int
-	Depth       int  // up to which every order was gone through
-	Complete    bool // no state had a successor beyond
-	Endings     int  // states that were played to their quiet end
-	ByDepth     []int
-	Took        time.Duration
-	Seen        []string // kinds of event and command that occurred
-	Moves       int      // of the table of connections' and attempts' lives that were made
-	Violations  []Violation
+	Config               Config
+	States               int // distinct ones
+	Transitions          int
+	Depth                int   // up to which every order of events was explored
+	Complete             bool  // no new state was left to explore
+	Endings              int   // states that were settled
+	ByDepth              []int // new states at each depth
+	Elapsed              time.Duration
+	Seen                 []string // kinds of commands, answers and guard refusals that occurred, sorted
+	LifecycleTransitions int      // distinct transitions of connections and attempts that occurred
+	Violations           []Violation
 }
 
-// Options are how an exploration goes.
+// Options bound an exploration's parallelism and extent.
 type Options struct {
-	Procs   int
-	Most    int // states; 0 for no bound
-	Endings int // one state in so many is played to its end; 0 for each
-	Limit   time.Duration
+	Procs          int           // states expanded at once
+	MaxStates      int           // ends the exploration after the level that reaches it; 0 for no bound
+	EndingInterval int           // one state in so many is settled; 0 for each
+	TimeLimit      time.Duration // ends the exploration after the level that exceeds it; 0 for no bound
 }
 
-// Run goes through every order of events, level by level, so that the first violation found is a shortest one. It ends
-// with the level in which one is found.
-func Run(ctx context.Context, set Setting, o Options, progress func(depth, states int)) (*Report, error) {
-	x := &explorer{set: set, o: o, visited: map[uint64]struct{}{}, kinds: map[string]bool{}, moves: map[driver.Move]bool{}}
+// Run explores every order of events breadth first, so that the first violation found is a shortest one. It blocks until
+// cfg.Depth is reached, no new state is left, an option's bound is exceeded or a level contains a violation, and calls
+// progress, unless nil, after each level. An error is ctx's, or says that a path could not be replayed.
+func Run(ctx context.Context, cfg Config, opts Options, progress func(depth, states int)) (*Report, error) {
+	x := &explorer{cfg: cfg, opts: opts, visited: map[uint64]struct{}{}, seen: map[string]bool{}, lifecycleTransitions: map[driver.Move]bool{}}
 	began := time.Now()
 	level := []*path{{}}
-	r := &Report{Setting: set}
-	for depth := 0; depth < set.Depth && len(level) > 0; depth++ {
+	r := &Report{Config: cfg}
+	for depth := 0; depth < cfg.Depth && len(level) > 0; depth++ {
 		next, err := x.expand(ctx, level)
 		if err != nil {
 			return nil, err
@@ -79,38 +80,38 @@
 		if progress != nil {
 			progress(depth+1, len(x.visited))
 		}
-		if len(x.violations) > 0 || o.Most > 0 && len(x.visited) >= o.Most || o.Limit > 0 && time.Since(began) > o.Limit {
+		if len(x.violations) > 0 || opts.MaxStates > 0 && len(x.visited) >= opts.MaxStates || opts.TimeLimit > 0 && time.Since(began) > opts.TimeLimit {
 			break
 		}
 	}
 	r.Complete = len(level) == 0
-	r.States, r.Transitions, r.Endings, r.Took = len(x.visited), int(x.transitions.Load()), int(x.endings.Load()), time.Since(began)
-	for kind := range x.kinds {
+	r.States, r.Transitions, r.Endings, r.Elapsed = len(x.visited), int(x.transitions.Load()), int(x.endings.Load()), time.Since(began)
+	for kind := range x.seen {
 		r.Seen = append(r.Seen, kind)
 	}
 	slices.Sort(r.Seen)
-	r.Moves = len(x.moves)
+	r.LifecycleTransitions = len(x.lifecycleTransitions)
 	r.Violations = x.violations
 	return r, nil
 }
 
 type explorer struct {
-	set         Setting
-	o           Options
+	cfg         Config
+	opts        Options
 	transitions atomic.Int64
 	endings     atomic.Int64
 
-	mu         sync.Mutex
-	visited    map[uint64]struct{}
-	kinds      map[string]bool
-	moves      map[driver.Move]bool
-	violations []Violation
+	mu                   sync.Mutex
+	visited              map[uint64]struct{}
+	seen                 map[string]bool
+	lifecycleTransitions map[driver.Move]bool
+	violations           []Violation
 }
 
-// expand is the next level: whatever the states of one lead to that was not seen.
+// expand returns the new successors of a level's states.
 func (x *explorer) expand(ctx context.Context, level []*path) (next []*path, err error) {
 	g, ctx := errgroup.WithContext(ctx)
-	g.SetLimit(max(1, x.o.Procs))
+	g.SetLimit(max(1, x.opts.Procs))
 	found := make([][]*path, len(level))
 	for i, p := range level {
 		g.Go(func() (err error) {
@@ -127,46 +128,46 @@
 	return slices.Concat(found...), nil
 }
 
-// replay plays a path from the start.
-func replay(set Setting, events []uint16) (*World, error) {
-	w, err := New(set)
+// replayPath plays a path from the initial state. The engine can't be copied, so a state is reached only by replay.
+func replayPath(cfg Config, events []uint16) (*World, error) {
+	w, err := New(cfg)
 	if err != nil {
 		return nil, err
 	}
 	for _, n := range events {
 		all := w.enabled()
 		if int(n) >= len(all) {
-			return nil, fmt.Errorf("explore: a path is not played the same twice: event %d of %d", n, len(all))
+			return nil, fmt.Errorf("explore: replay of a path diverged: event %d of %d enabled ones", n, len(all))
 		}
-		all[n].do()
+		all[n].apply()
 	}
 	return w, nil
 }
 
 func (x *explorer) successors(p *path) (next []*path, err error) {
 	events := p.events()
-	w, err := replay(x.set, events)
+	w, err := replayPath(x.cfg, events)
 	if err != nil {
 		return nil, err
 	}
 	for n := range w.enabled() {
-		if n > 0 { // the world of the parent is used up by its first event
-			if w, err = replay(x.set, events); err != nil {
+		if n > 0 { // the first event has changed the parent's World
+			if w, err = replayPath(x.cfg, events); err != nil {
 				return nil, err
 			}
 		}
-		w.enabled()[n].do()
+		w.enabled()[n].apply()
 		x.transitions.Add(1)
 		child := &path{p, uint16(n), p.depth + 1}
-		if x.meets(w) && !x.judged(w, child) {
+		if x.addState(w) && !x.checkState(w, child) {
 			next = append(next, child)
 		}
 	}
 	return next, nil
 }
 
-// meets tells whether a state is new.
-func (x *explorer) meets(w *World) bool {
+// addState adds a state to the visited ones and reports whether it is new.
+func (x *explorer) addState(w *World) bool {
 	h := w.hash()
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -175,78 +176,80 @@
 	}
 	x.visited[h] = struct{}{}
 	for kind := range w.seen {
-		x.kinds[kind] = true
+		x.seen[kind] = true
 	}
 	return true
 }
 
-// judged tells whether a state breaks a property, by itself or by how it ends.
-func (x *explorer) judged(w *World, p *path) bool {
-	if len(w.broken) == 0 && (x.o.Endings <= 1 || w.hash()%uint64(x.o.Endings) == 0) {
+// checkState reports whether a state violates a property, at once or after settling. Only one state in opts.EndingInterval
+// is settled.
+func (x *explorer) checkState(w *World, p *path) bool {
+	if len(w.broken) == 0 && (x.opts.EndingInterval <= 1 || w.hash()%uint64(x.opts.EndingInterval) == 0) {
 		x.endings.Add(1)
-		w.quiet()
+		w.settle()
 	}
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	if len(x.moves) < len(driver.Moves()) {
+	if len(x.lifecycleTransitions) < len(driver.Moves()) {
 		for move := range w.engine.Moved() {
-			x.moves[move] = true
+			x.lifecycleTransitions[move] = true
 		}
 	}
 	if len(w.broken) == 0 {
 		return false
 	}
 	if len(x.violations) < 10 {
-		x.violations = append(x.violations, Violation{What: w.broken[0], Events: names(x.set, p.events())})
+		x.violations = append(x.violations, Violation{Message: w.broken[0], Events: pathEventNames(x.cfg, p.events())})
 	}
 	return true
 }
 
-// names are the events of a path in words.
-func names(set Setting, events []uint16) (all []string) {
-	w, err := New(set)
+// pathEventNames returns the names of a path's events.
+func pathEventNames(cfg Config, events []uint16) (all []string) {
+	w, err := New(cfg)
 	if err != nil {
 		return nil
 	}
 	for _, n := range events {
 		ev := w.enabled()[n]
 		all = append(all, ev.name)
-		ev.do()
+		ev.apply()
 	}
 	return all
 }
 
-// hash is the state's: the engine's and that of what is around it.
+// hash identifies the state of the engine and its environment.
 func (w *World) hash() uint64 {
-	return hashOf(&struct {
+	return hashState(&struct {
 		Engine  any
 		Nodes   []*node
 		Conns   any
 		Clients []*client
 		Reqs    any
-		Used    budget
+		Faults  faultCounts
 		Drained map[string]time.Duration
-	}{w.engine, w.nodes, w.conns, w.clients, w.reqs, w.used, w.drained}, w.now)
+	}{w.engine, w.nodes, w.conns, w.clients, w.reqs, w.faults, w.drained}, w.now)
 }
 
-// Tell plays a story by the names of its events and writes what happens, with what the driver does, and what is broken.
-func Tell(out io.Writer, set Setting, events []string) (broken []string, err error) {
-	w, err := New(set)
+// Replay plays events by their names and writes each one to out with the engine's commands and the violations it causes. It
+// returns the violations, or an error if an event is not possible at its point of the sequence.
+func Replay(out io.Writer, cfg Config, events []string) (broken []string, err error) {
+	w, err := New(cfg)
 	if err != nil {
 		return nil, err
 	}
-	w.tell = true
+	w.tracing = true
 	for i, name := range events {
 		all := w.enabled()
 		at := slices.IndexFunc(all, func(e event) bool { return e.name == name })
 		if at < 0 {
-			return nil, fmt.Errorf("explore: event %d, %q, can't happen there; what can: %s", i+1, name, strings.Join(eventNames(all), "; "))
+			return nil, fmt.Errorf("explore: event %d, %q, is not possible there; possible events: %s", i+1, name, strings.Join(eventNames(all), "; "))
 		}
 		was := len(w.broken)
-		w.story = nil
-		all[at].do()
-		fmt.Fprintf(out, "%3d  %9.3fs  %s\n", i+1, (w.now - begin).Seconds(), name)
-		for _, line := range w.story {
+		w.trace = nil
+		all[at].apply()
+		fmt.Fprintf(out, "%3d  %9.3fs  %s\n", i+1, (w.now - startTime).Seconds(), name)
+		for _, line := range w.trace {
 			fmt.Fprintf(out, "                  %s\n", line)
 		}
 		for _, line := range w.broken[was:] {
@@ -254,9 +257,9 @@
 		}
 	}
 	if len(w.broken) == 0 {
-		w.tell = false
-		if w.quiet(); len(w.broken) > 0 {
-			fmt.Fprintf(out, "     then all comes that can, and no fault strikes: BROKEN %s\n", w.broken[0])
+		w.tracing = false
+		if w.settle(); len(w.broken) > 0 {
+			fmt.Fprintf(out, "     then pending events occur without further faults: BROKEN %s\n", w.broken[0])
 		}
 	}
 	return w.broken, nil
--- a/explore/fuzz_test.go
+++ b/explore/fuzz_test.go
@@ -2,15 +2,14 @@
 
 import "testing"
 
-// FuzzScript reads bytes as a script: each settles which of the events that can happen does. No property breaks, whatever
-// they are.
+// FuzzScript plays one event per byte, which selects among the events that are possible then. No property may be violated.
 func FuzzScript(f *testing.F) {
 	f.Add([]byte{0, 3, 1, 2, 5, 9, 9, 1, 0, 0, 7})
 	f.Add([]byte("a primary dies while its replica drains"))
 	f.Add([]byte{0, 0, 1, 1, 2, 2, 200, 100, 50, 25, 12, 6, 3, 1, 0})
-	set := Setting{Clients: 3, Nodes: 3, Resets: 2, Drains: 1, Crashes: 1, Zombies: 1, Leaves: 1, Script: []string{"write own post", "post fresh", "article own write"}}
+	cfg := Config{Clients: 3, Nodes: 3, Resets: 2, Drains: 1, Crashes: 1, StalePrimaries: 1, Disconnects: 1, Script: []string{"write own post", "post fresh", "article own write"}}
 	f.Fuzz(func(t *testing.T, script []byte) {
-		w, err := New(set)
+		w, err := New(cfg)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -19,13 +18,13 @@
 			all := w.enabled()
 			ev := all[int(b)%len(all)]
 			events = append(events, ev.name)
-			ev.do()
+			ev.apply()
 		}
 		if len(w.broken) == 0 {
-			w.quiet()
+			w.settle()
 		}
 		if len(w.broken) > 0 {
-			t.Errorf("%s\n%s", w.broken[0], Story(set, Violation{w.broken[0], events}))
+			t.Errorf("%s\n%s", w.broken[0], FormatTrace(cfg, Violation{w.broken[0], events}))
 		}
 	})
 }
--- a/explore/model.go
+++ b/explore/model.go
@@ -1,7 +1,7 @@
-// Package explore drives the real engine, with the real module in it, through every order of events that can happen to a
-// few clients before a few nodes: deliveries, losses, resets, cancels, time-outs that race replies, drains, promotions.
-// States that were seen are not gone through again; each state's future is also played to its quiet end. What must hold is
-// stated in properties.go, and a violation is a numbered story that can be played again.
+// Package explore is a model checker: it takes a Config of clients, nodes and possible faults, and runs the real engine of
+// package driver through every order of events up to a depth, or through random walks. It returns the number of states and
+// the violations found of the properties in properties.go, each with the events that lead to it. Package main of
+// cmd/umberladder calls it for "umberladder explore".
 package explore
 
 import (
@@ -21,25 +21,25 @@
 
 const ms = time.Millisecond
 
-// Setting is what is explored.
-type Setting struct {
-	Clients int // each makes the requests of Script[i%len(Script)], one after the other
-	Nodes   int // of one slice, the first is primary
-	Depth   int // events of a path
-	Resets  int // connections that the network may cut
-	Drains  int // nodes that the list may call away
-	Crashes int // primaries that may die, another being promoted
-	Zombies int // primaries that may be deposed without noticing
-	Leaves  int // clients that may leave
-	Script  []string
+// Config describes the modelled cluster, its clients and the faults that may occur.
+type Config struct {
+	Clients        int      // client i makes the requests of Script[i%len(Script)] in sequence
+	Nodes          int      // nodes of the only slice; the first one is primary
+	Depth          int      // maximum number of events in a path
+	Resets         int      // maximum number of connections that break
+	Drains         int      // maximum number of nodes that the node list marks as draining
+	Crashes        int      // maximum number of primaries that crash; a replica is promoted each time
+	StalePrimaries int      // maximum number of primaries that are deposed without noticing
+	Disconnects    int      // maximum number of clients that disconnect with a request pending
+	Script         []string // class names of the requests of a client, separated by spaces
 }
 
-// Default is two clients and three nodes with a fault of each kind.
-func Default() Setting {
-	return Setting{Clients: 2, Nodes: 3, Depth: 9, Resets: 1, Drains: 1, Crashes: 1, Zombies: 1, Leaves: 1, Script: []string{"write own", "post"}}
+// Default returns a Config of two clients and three nodes with at most one fault of each kind.
+func Default() Config {
+	return Config{Clients: 2, Nodes: 3, Depth: 9, Resets: 1, Drains: 1, Crashes: 1, StalePrimaries: 1, Disconnects: 1, Script: []string{"write own", "post"}}
 }
 
-// classes are those of the newsroom, with a keyed write.
+// classes returns the request classes of the newsroom example and a keyed write.
 func classes() []balance.Class {
 	return []balance.Class{
 		{Name: "article", Need: balance.NeedBounded, Bound: 200 * ms, Target: 400 * ms, Deadline: time.Second, Worth: 2},
@@ -57,36 +57,36 @@
 			TipMultiple: 3, Fall: time.Second, Cancel: true, Probing: true, TryLimit: 10, RetryAfter: true, MaxRetryAfter: time.Second, DialTimeout: 250 * ms}}
 }
 
-// begin is the engine's time at the start.
-const begin = 1000 * time.Hour
+// startTime is the engine's time at the start. It exceeds minTimestamp, so that the hash can tell times from durations.
+const startTime = 1000 * time.Hour
 
-// World is the engine with what is around it.
+// World is the engine under test and a model of its environment: nodes, connections and clients.
 type World struct {
-	set     Setting
+	cfg     Config
 	engine  *driver.Engine
 	now     time.Duration
 	nodes   []*node
-	conns   map[driver.ConnID]*wire
+	conns   map[driver.ConnID]*simConn
 	clients []*client
 	reqs    map[driver.RequestID]*request
 	lastReq driver.RequestID
-	used    budget
-	drained map[string]time.Duration // since when the driver was told
+	faults  faultCounts
+	drained map[string]time.Duration // time at which the driver was notified of each node's drain
 	log     []commit
 	broken  []string
-	story   []string // of the last step
-	tell    bool     // keep stories
+	trace   []string // readable commands of the last event
+	tracing bool     // whether trace is filled
 	seen    map[string]bool
 }
 
-// budget is what of the setting's faults was used.
-type budget struct{ resets, drains, crashes, zombies, leaves int }
+// faultCounts counts the faults that have occurred, each bounded by the Config.
+type faultCounts struct{ resets, drains, crashes, stalePrimaries, disconnects int }
 
 type node struct {
 	name     string
 	primary  bool
 	timeline uint32
-	applied  int // records of the log of its timeline
+	applied  int // log records applied on its timeline
 	down     bool
 }
 
@@ -96,71 +96,71 @@
 	lsn      uint64
 }
 
-// wire is a connection.
-type wire struct {
+type simConn struct {
 	id      driver.ConnID
 	node    *node
 	dialing bool
-	out     *exchange
+	pending *exchange
 }
 
-// exchange is what is out on one.
+// exchange is one query sent to a node and its pending reply.
 type exchange struct {
-	request driver.RequestID
-	write   bool
-	guard   driver.Guard
-	ran     bool // it has run, its answer is on the way
-	cancel  bool // a cancel is on its way
-	sent    time.Duration
-	result  driver.Result
+	request       driver.RequestID
+	write         bool
+	guard         driver.Guard
+	ran           bool // the node has run it; the reply is in flight
+	cancelPending bool // a cancel is in flight
+	sent          time.Duration
+	result        driver.Result
 }
 
 type client struct {
-	script []string
-	next   int
-	open   driver.RequestID // 0 for none
-	token  token.Token
-	saved  commit // its last served write
+	script    []string
+	next      int
+	current   driver.RequestID // pending request, 0 for none
+	token     token.Token      // not part of the state hash, which skips fields of this name
+	lastWrite commit           // last write that was served
 }
 
 type request struct {
-	client   int
-	class    int
-	deadline time.Duration
-	sends    int
-	out      int // exchanges of it that may run
-	runs     int
-	may      []time.Duration // when those went out of which it is not known that nothing ran
-	answers  int
-	left     bool
-	need     position.Position
-}
-
-// New is a world in which the driver knows its nodes and nothing is out.
-func New(set Setting) (*World, error) {
+	client       int
+	class        int
+	deadline     time.Duration
+	sends        int
+	inFlight     int // exchanges that may still run or whose reply is pending
+	runs         int
+	maybeRan     []time.Duration // send times of the attempts that may have run
+	answers      int
+	disconnected bool
+	need         position.Position
+}
+
+// New returns a World in which the driver has polled its nodes and connected to them, with no request pending. It returns
+// an error if the engine rejects its configuration.
+func New(cfg Config) (*World, error) {
 	e, err := driver.New(engineConfig(), 1)
 	if err != nil {
 		return nil, err
 	}
-	w := &World{set: set, engine: e, now: begin, conns: map[driver.ConnID]*wire{}, reqs: map[driver.RequestID]*request{}, drained: map[string]time.Duration{}, seen: map[string]bool{}}
-	for i := range set.Nodes {
+	w := &World{cfg: cfg, engine: e, now: startTime, conns: map[driver.ConnID]*simConn{}, reqs: map[driver.RequestID]*request{}, drained: map[string]time.Duration{}, seen: map[string]bool{}}
+	for i := range cfg.Nodes {
 		w.nodes = append(w.nodes, &node{name: string(rune('a' + i)), primary: i == 0, timeline: 1})
 	}
-	for i := range set.Clients {
-		w.clients = append(w.clients, &client{script: strings.Fields(set.Script[i%len(set.Script)])})
+	for i := range cfg.Clients {
+		w.clients = append(w.clients, &client{script: strings.Fields(cfg.Script[i%len(cfg.Script)])})
 	}
-	w.step(w.list())
-	for range 400 { // it asks its nodes, and has a connection to each
-		if !w.settleDials() && w.now > begin+300*ms {
+	w.step(w.nodeList())
+	for range 400 { // until the engine has polled each node and opened its connections
+		if !w.completeDials() && w.now > startTime+300*ms {
 			break
 		}
-		w.tick()
+		w.advance()
 	}
 	w.broken = nil
 	return w, nil
 }
 
-func (w *World) list() driver.Event {
+func (w *World) nodeList() driver.Event {
 	ev := driver.Event{Kind: driver.EventList, List: balance.ListFull}
 	for _, n := range w.nodes {
 		life := balance.LifeReady
@@ -172,32 +172,33 @@
 	return ev
 }
 
-// settleDials lets what is being dialled come up, and tells whether anything was.
-func (w *World) settleDials() (any bool) {
+// completeDials completes all pending dials and reports whether there were any.
+func (w *World) completeDials() (any bool) {
 	for _, id := range slices.Sorted(maps.Keys(w.conns)) {
 		if c := w.conns[id]; c != nil && c.dialing {
-			w.dialled(c)
+			w.completeDial(c)
 			any = true
 		}
 	}
 	return any
 }
 
-// step gives the engine an event, and does what it says. Questions for facts are answered at once where a node is up.
+// step passes an event to the engine and executes the resulting commands. Facts queries are answered at once by nodes that
+// are up.
 func (w *World) step(ev driver.Event) {
 	events := []driver.Event{ev}
 	for round := 0; len(events) > 0 && round < 50; round++ {
 		cmds := w.engine.Step(w.now, events, nil)
 		events = nil
 		for i := range cmds {
-			events = append(events, w.do(&cmds[i])...)
+			events = append(events, w.execute(&cmds[i])...)
 		}
 	}
-	w.judgeMoves()
+	w.checkTransitions()
 }
 
-// tick lets time pass to the engine's next timer.
-func (w *World) tick() {
+// advance moves time to the engine's next timer, or by a second if none is set.
+func (w *World) advance() {
 	at, ok := w.engine.Wake()
 	if !ok {
 		at = w.now + time.Second
@@ -206,41 +207,41 @@
 	cmds := w.engine.Step(w.now, nil, nil)
 	var events []driver.Event
 	for i := range cmds {
-		events = append(events, w.do(&cmds[i])...)
+		events = append(events, w.execute(&cmds[i])...)
 	}
 	for _, ev := range events {
 		w.step(ev)
 	}
 }
 
-func (w *World) do(c *driver.Command) []driver.Event {
-	w.note(c)
+func (w *World) execute(c *driver.Command) []driver.Event {
+	w.noteCommand(c)
 	switch c.Kind {
 	case driver.CommandDial:
-		w.conns[c.Conn] = &wire{id: c.Conn, node: w.named(c.Node), dialing: true}
+		w.conns[c.Conn] = &simConn{id: c.Conn, node: w.nodeNamed(c.Node), dialing: true}
 	case driver.CommandAsk:
-		return w.asked(c)
+		return w.readFacts(c)
 	case driver.CommandSend:
-		w.sent(c)
+		w.startExchange(c)
 	case driver.CommandCancel:
-		if x := w.exchangeOn(c.Conn); x != nil {
-			x.cancel = true
+		if x := w.pendingOn(c.Conn); x != nil {
+			x.cancelPending = true
 		}
 	case driver.CommandClose:
-		if x := w.exchangeOn(c.Conn); x != nil && !x.ran && x.request != 0 {
-			w.over(x) // its node notices before it runs: one that does not is a reset
+		if x := w.pendingOn(c.Conn); x != nil && !x.ran && x.request != 0 {
+			w.endExchange(x) // the node sees the close before it runs the query; the other order is modelled as a reset
 		}
 		delete(w.conns, c.Conn)
 	case driver.CommandAnswer:
-		w.answered(c)
+		w.executeAnswer(c)
 	}
 	return nil
 }
 
-func (w *World) note(c *driver.Command) {
+func (w *World) noteCommand(c *driver.Command) {
 	names := [...]string{"dials", "sends", "asks", "cancels", "closes", "opens", "answers", "subscribes", "says", "has stopped"}
 	w.seen["command "+names[c.Kind]] = true
-	if !w.tell || c.Kind == driver.CommandAsk || c.Kind == driver.CommandSubscribe {
+	if !w.tracing || c.Kind == driver.CommandAsk || c.Kind == driver.CommandSubscribe {
 		return
 	}
 	text := "driver " + names[c.Kind]
@@ -256,10 +257,10 @@
 	default:
 		text += fmt.Sprintf(" connection %d", c.Conn)
 	}
-	w.story = append(w.story, text)
+	w.trace = append(w.trace, text)
 }
 
-func (w *World) named(name string) *node {
+func (w *World) nodeNamed(name string) *node {
 	for _, n := range w.nodes {
 		if n.name == name {
 			return n
@@ -268,50 +269,50 @@
 	return nil
 }
 
-func (w *World) exchangeOn(id driver.ConnID) *exchange {
+func (w *World) pendingOn(id driver.ConnID) *exchange {
 	if c := w.conns[id]; c != nil {
-		return c.out
+		return c.pending
 	}
 	return nil
 }
 
-// asked answers a question for facts at once, unless its node is down.
-func (w *World) asked(c *driver.Command) []driver.Event {
-	l := w.conns[c.Conn]
-	if l == nil || l.node.down {
+// readFacts answers a facts query at once, unless the node is down.
+func (w *World) readFacts(c *driver.Command) []driver.Event {
+	conn := w.conns[c.Conn]
+	if conn == nil || conn.node.down {
 		return nil
 	}
-	if l.out != nil {
-		w.breaks(PropertyPending, "a question goes out on connection %d, on which an answer is pending", c.Conn)
+	if conn.pending != nil {
+		w.violate(PropertyPending, "a facts query is sent on connection %d, on which a reply is pending", c.Conn)
 	}
-	return []driver.Event{{Kind: driver.EventResult, Conn: c.Conn, Result: driver.Result{Facts: w.facts(l.node)}}}
+	return []driver.Event{{Kind: driver.EventResult, Conn: c.Conn, Result: driver.Result{Facts: w.facts(conn.node)}}}
 }
 
 func (w *World) facts(n *node) driver.Facts {
 	f := driver.Facts{Known: true, Replica: !n.primary, Position: position.Position{Timeline: n.timeline, LSN: uint64(64 + n.applied)}, System: 7, Clock: w.now.Microseconds()}
 	if !f.Replica {
-		f.Position.Transactions = position.AllTransactions // here a commit shows as it is logged
+		f.Position.Transactions = position.AllTransactions // in this model a commit is visible as soon as it is logged
 	}
 	return f
 }
 
-// sent takes an exchange onto its connection.
-func (w *World) sent(c *driver.Command) {
-	l, q := w.conns[c.Conn], w.reqs[c.Request]
-	if l == nil || q == nil {
+// startExchange records a query of a request as in flight on its connection.
+func (w *World) startExchange(c *driver.Command) {
+	conn, q := w.conns[c.Conn], w.reqs[c.Request]
+	if conn == nil || q == nil {
 		return
 	}
-	w.judgeSend(l, c, q)
+	w.checkSend(conn, c, q)
 	q.sends++
-	q.out++
-	q.may = append(q.may, w.now)
-	l.out = &exchange{request: c.Request, write: c.Write, guard: c.Guard, sent: w.now}
+	q.inFlight++
+	q.maybeRan = append(q.maybeRan, w.now)
+	conn.pending = &exchange{request: c.Request, write: c.Write, guard: c.Guard, sent: w.now}
 }
 
-// run has a node run what is out on a connection.
-func (w *World) run(l *wire) {
-	x := l.out
-	n, q := l.node, w.reqs[x.request]
+// runExchange makes the node run the pending query of a connection.
+func (w *World) runExchange(conn *simConn) {
+	x := conn.pending
+	n, q := conn.node, w.reqs[x.request]
 	x.ran = true
 	r := driver.Result{Began: true, Done: true, Facts: w.facts(n)}
 	switch {
@@ -322,7 +323,7 @@
 		n.applied++
 		w.log = append(w.log, commit{x.request, n.timeline, uint64(64 + n.applied)})
 		q.runs++
-		w.judgeRun(x.request, q)
+		w.checkRun(x.request, q)
 		r.Facts = w.facts(n)
 	default:
 		r.After = w.facts(n)
@@ -330,49 +331,49 @@
 	x.result = r
 }
 
-// over: an exchange of a request can run no more.
-func (w *World) over(x *exchange) {
+// endExchange records that an exchange has ended and can no longer run.
+func (w *World) endExchange(x *exchange) {
 	if q := w.reqs[x.request]; q != nil {
-		q.out--
+		q.inFlight--
 	}
 }
 
-// reply brings the result of what ran to the driver.
-func (w *World) reply(l *wire) {
-	x := l.out
-	l.out = nil
-	w.over(x)
+// deliverReply passes the result of the query that ran to the engine.
+func (w *World) deliverReply(conn *simConn) {
+	x := conn.pending
+	conn.pending = nil
+	w.endExchange(x)
 	if q := w.reqs[x.request]; x.result.Guarded && q != nil {
-		if i := slices.Index(q.may, x.sent); i >= 0 {
-			q.may = slices.Delete(q.may, i, i+1)
+		if i := slices.Index(q.maybeRan, x.sent); i >= 0 {
+			q.maybeRan = slices.Delete(q.maybeRan, i, i+1)
 		}
 	}
-	w.step(driver.Event{Kind: driver.EventResult, Conn: l.id, Result: x.result})
+	w.step(driver.Event{Kind: driver.EventResult, Conn: conn.id, Result: x.result})
 }
 
-// reset cuts a connection: what ran on it has run, what had not never will.
-func (w *World) reset(l *wire) {
-	delete(w.conns, l.id)
-	ev := driver.Event{Kind: driver.EventClosed, Conn: l.id}
-	if x := l.out; x != nil {
-		w.over(x)
-		ev = driver.Event{Kind: driver.EventResult, Conn: l.id, Result: driver.Result{End: driver.EndBroken, Began: x.ran}}
+// resetConn breaks a connection: a query that has run keeps its effect, one that has not never runs.
+func (w *World) resetConn(conn *simConn) {
+	delete(w.conns, conn.id)
+	ev := driver.Event{Kind: driver.EventClosed, Conn: conn.id}
+	if x := conn.pending; x != nil {
+		w.endExchange(x)
+		ev = driver.Event{Kind: driver.EventResult, Conn: conn.id, Result: driver.Result{End: driver.EndBroken, Began: x.ran}}
 	}
 	w.step(ev)
 }
 
-func (w *World) dialled(l *wire) {
-	l.dialing = false
-	ev := driver.Event{Kind: driver.EventDialed, Conn: l.id}
-	if l.node.down {
-		delete(w.conns, l.id)
-		ev.Dial = &driver.DialError{Err: fmt.Errorf("%s is down", l.node.name)}
+func (w *World) completeDial(conn *simConn) {
+	conn.dialing = false
+	ev := driver.Event{Kind: driver.EventDialed, Conn: conn.id}
+	if conn.node.down {
+		delete(w.conns, conn.id)
+		ev.Dial = &driver.DialError{Err: fmt.Errorf("%s is down", conn.node.name)}
 	}
 	w.step(ev)
 }
 
-// asks has a client make its next request.
-func (w *World) asks(i int) {
+// makeRequest makes a client send its next request.
+func (w *World) makeRequest(i int) {
 	c := w.clients[i]
 	class := slices.IndexFunc(classes(), func(k balance.Class) bool { return k.Name == c.script[c.next] })
 	c.next++
@@ -380,11 +381,11 @@
 	q := &request{client: i, class: class, deadline: w.now + classes()[class].Deadline}
 	ask := driver.Ask{Class: class, Slice: "s", Session: fmt.Sprint("client", i), Deadline: q.deadline, Token: c.token}
 	q.need, _ = c.token.At("s")
-	w.reqs[w.lastReq], c.open = q, w.lastReq
+	w.reqs[w.lastReq], c.current = q, w.lastReq
 	w.step(driver.Event{Kind: driver.EventRequest, Request: w.lastReq, Ask: ask})
 }
 
-// promote makes the most advanced replica primary of the next timeline.
+// promote makes the most advanced running replica primary of a new timeline. The other nodes of its timeline except old follow.
 func (w *World) promote(old *node) {
 	var next *node
 	for _, n := range w.nodes {
@@ -403,8 +404,9 @@
 	next.primary, next.timeline = true, next.timeline+1
 }
 
-// primaryNode is who is primary of the newest timeline.
-func (w *World) primaryNode() *node {
+// newestPrimary returns the running primary of the newest timeline. If no primary is running, it returns the node of the
+// newest timeline.
+func (w *World) newestPrimary() *node {
 	return slices.MaxFunc(w.nodes, func(a, b *node) int {
 		return cmp.Or(cmp.Compare(b2i(a.primary && !a.down), b2i(b.primary && !b.down)), cmp.Compare(a.timeline, b.timeline))
 	})
--- a/explore/properties.go
+++ b/explore/properties.go
@@ -10,95 +10,97 @@
 	"umberladder/token"
 )
 
-// The properties. Each is judged by what reaches nodes and clients.
+// The properties, most of them checked by what reaches nodes and clients. These texts are part of trace files and of the
+// output of "umberladder explore".
 const (
-	PropertyAnswer   = "one final answer, before the deadline"
-	PropertyAfter    = "nothing is sent after the final answer"
-	PropertyAlone    = "one attempt out at a time"
-	PropertyOnce     = "no unsafe write runs twice, no keyed one goes out outside its window"
-	PropertyUnsafe   = "what may have run goes out again only if its class allows it"
-	PropertyDrain    = "nothing new beyond the grace of a drain"
-	PropertyFresh    = "no read is served below its need"
-	PropertyPending  = "no connection is used with a reply pending"
-	PropertyBarred   = "nothing goes to a node that was heard to be deposed"
-	PropertyLeak     = "after all is quiet the engine is as at its start"
-	PropertyAnswered = "a held write is answered once there is a primary"
-	PropertyLife     = "no illegal move"
-	PropertySound    = "counts are those of what there is"
+	PropertyOneAnswer         = "one final answer, before the deadline"
+	PropertyNoSendAfterAnswer = "nothing is sent after the final answer"
+	PropertyOneAttempt        = "one attempt out at a time"
+	PropertyAtMostOnce        = "no unsafe write runs twice, no keyed one goes out outside its window"
+	PropertyResend            = "what may have run goes out again only if its class allows it"
+	PropertyDrain             = "nothing new beyond the grace of a drain"
+	PropertyReadPosition      = "no read is served below its need"
+	PropertyPending           = "no connection is used with a reply pending"
+	PropertyDeposed           = "nothing goes to a node that was heard to be deposed"
+	PropertyLeak              = "after all is quiet the engine is as at its start"
+	PropertyHeldWriteAnswered = "a held write is answered once there is a primary"
+	PropertyTransitions       = "no illegal move"
+	PropertyCounts            = "counts are those of what there is"
 )
 
-// Properties are all of them.
+// Properties returns all properties.
 func Properties() []string {
-	return []string{PropertyAnswer, PropertyAfter, PropertyAlone, PropertyOnce, PropertyUnsafe, PropertyDrain, PropertyFresh, PropertyPending, PropertyBarred, PropertyLeak, PropertyAnswered, PropertyLife, PropertySound}
+	return []string{PropertyOneAnswer, PropertyNoSendAfterAnswer, PropertyOneAttempt, PropertyAtMostOnce, PropertyResend, PropertyDrain, PropertyReadPosition, PropertyPending, PropertyDeposed, PropertyLeak, PropertyHeldWriteAnswered, PropertyTransitions, PropertyCounts}
 }
 
-func (w *World) breaks(property, format string, args ...any) {
+func (w *World) violate(property, format string, args ...any) {
 	w.broken = append(w.broken, property+": "+fmt.Sprintf(format, args...))
 }
 
-// judgeMoves looks at the life of connections and attempts.
-func (w *World) judgeMoves() {
+// checkTransitions checks the engine's state tables of connections and attempts, and its counts.
+func (w *World) checkTransitions() {
 	if all := w.engine.Illegal(); len(all) > 0 {
-		w.breaks(PropertyLife, "%s", all[0])
+		w.violate(PropertyTransitions, "%s", all[0])
 	}
 	if err := w.engine.Sound(); err != nil {
-		w.breaks(PropertySound, "%v", err)
+		w.violate(PropertyCounts, "%v", err)
 	}
 }
 
-// judgeSend judges an exchange on its way out.
-func (w *World) judgeSend(l *wire, c *driver.Command, q *request) {
+// checkSend checks the properties of a query that the engine sends.
+func (w *World) checkSend(conn *simConn, c *driver.Command, q *request) {
 	class := &classes()[q.class]
 	switch {
-	case l.out != nil:
-		w.breaks(PropertyPending, "request %d goes out on connection %d, on which an answer is pending", c.Request, c.Conn)
-	case l.dialing:
-		w.breaks(PropertyPending, "request %d goes out on connection %d, which is not up", c.Request, c.Conn)
+	case conn.pending != nil:
+		w.violate(PropertyPending, "request %d is sent on connection %d, on which a reply is pending", c.Request, c.Conn)
+	case conn.dialing:
+		w.violate(PropertyPending, "request %d is sent on connection %d, which is not established", c.Request, c.Conn)
 	}
-	if q.answers > 0 || q.left {
-		w.breaks(PropertyAfter, "request %d goes to %s after its end", c.Request, c.Node)
+	if q.answers > 0 || q.disconnected {
+		w.violate(PropertyNoSendAfterAnswer, "request %d is sent to %s after its end", c.Request, c.Node)
 	}
-	if q.out > 0 && !w.calledBack(c.Request) {
-		w.breaks(PropertyAlone, "request %d goes to %s while it is out", c.Request, c.Node)
+	if q.inFlight > 0 && !w.allCanceled(c.Request) {
+		w.violate(PropertyOneAttempt, "request %d is sent to %s while another attempt is in flight", c.Request, c.Node)
 	}
 	if q.runs > 0 && class.Effect == balance.Unsafe {
-		w.breaks(PropertyUnsafe, "request %d goes to %s again though it ran", c.Request, c.Node)
+		w.violate(PropertyResend, "request %d is sent to %s again although it ran", c.Request, c.Node)
 	}
-	if len(q.may) > 0 && class.Effect == balance.Keyed && w.now-q.may[0] > class.Window {
-		w.breaks(PropertyOnce, "request %d goes out again after %v", c.Request, w.now-q.may[0])
+	if len(q.maybeRan) > 0 && class.Effect == balance.Keyed && w.now-q.maybeRan[0] > class.Window {
+		w.violate(PropertyAtMostOnce, "request %d is sent again after %v", c.Request, w.now-q.maybeRan[0])
 	}
-	if at, told := w.drained[c.Node]; told && w.now-at > engineConfig().Router.DrainGrace {
-		w.breaks(PropertyDrain, "request %d goes to %s %v after its drain was told", c.Request, c.Node, w.now-at)
+	if since, draining := w.drained[c.Node]; draining && w.now-since > engineConfig().Router.DrainGrace {
+		w.violate(PropertyDrain, "request %d is sent to %s %v after the driver was notified of its drain", c.Request, c.Node, w.now-since)
 	}
 	for _, n := range w.engine.Ledgers()[0].Nodes {
 		if n.Node == c.Node && !n.Standing.Takes() {
-			w.breaks(PropertyBarred, "request %d goes to %s, which is %v", c.Request, c.Node, n.Standing)
+			w.violate(PropertyDeposed, "request %d is sent to %s, which is %v", c.Request, c.Node, n.Standing)
 		}
 	}
 }
 
-// calledBack tells whether a cancel is on its way for all that is out of a request: that counts as ended.
-func (w *World) calledBack(id driver.RequestID) bool {
-	for _, l := range w.conns {
-		if x := l.out; x != nil && x.request == id && !x.cancel && !x.ran {
+// allCanceled reports whether every query of a request that is in flight counts as ended: one that has not run has a cancel
+// in flight, and one that has run is not a write.
+func (w *World) allCanceled(id driver.RequestID) bool {
+	for _, conn := range w.conns {
+		if x := conn.pending; x != nil && x.request == id && !x.cancelPending && !x.ran {
 			return false
 		}
-		if x := l.out; x != nil && x.request == id && x.ran && x.write {
+		if x := conn.pending; x != nil && x.request == id && x.ran && x.write {
 			return false
 		}
 	}
 	return true
 }
 
-// judgeRun judges a write that has just run.
-func (w *World) judgeRun(id driver.RequestID, q *request) {
+// checkRun checks a write that a node has just run.
+func (w *World) checkRun(id driver.RequestID, q *request) {
 	if q.runs > 1 {
-		w.breaks(PropertyOnce, "request %d ran %d times", id, q.runs)
+		w.violate(PropertyAtMostOnce, "request %d ran %d times", id, q.runs)
 	}
 }
 
-// answered judges a final answer, and has its client take it.
-func (w *World) answered(c *driver.Command) {
+// executeAnswer checks a final answer and delivers it to the client.
+func (w *World) executeAnswer(c *driver.Command) {
 	q := w.reqs[c.Request]
 	if q == nil {
 		return
@@ -107,86 +109,87 @@
 	w.seen["answer "+c.Answer.Status.String()] = true
 	switch {
 	case q.answers > 1:
-		w.breaks(PropertyAnswer, "request %d is answered a second time", c.Request)
-	case q.left:
-		w.breaks(PropertyAnswer, "request %d is answered though its client left", c.Request)
+		w.violate(PropertyOneAnswer, "request %d is answered a second time", c.Request)
+	case q.disconnected:
+		w.violate(PropertyOneAnswer, "request %d is answered although its client disconnected", c.Request)
 	case w.now > q.deadline:
-		w.breaks(PropertyAnswer, "request %d is answered %v late", c.Request, w.now-q.deadline)
+		w.violate(PropertyOneAnswer, "request %d is answered %v after its deadline", c.Request, w.now-q.deadline)
 	case c.Answer.Status == driver.Refused && q.runs > 0 && classes()[q.class].Effect == balance.Unsafe:
-		w.breaks(PropertyAnswer, "request %d ran and is refused", c.Request)
+		w.violate(PropertyOneAnswer, "request %d ran and is answered as refused", c.Request)
 	}
 	cl := w.clients[q.client]
-	cl.open = 0
+	cl.current = 0
 	if c.Answer.Status == driver.Served {
-		w.judgeServed(c, q)
+		w.checkServed(c, q)
 		cl.token = cl.token.Join(c.Answer.Token)
 	} else if c.Answer.Cause == driver.CauseTokenLost || c.Answer.Cause == driver.CauseTokenAhead {
 		cl.token = token.Token{}
 	}
 }
 
-// judgeServed looks that a write ran, and that a read shows what its session was told of, unless a promotion left that out.
-func (w *World) judgeServed(c *driver.Command, q *request) {
+// checkServed checks that a served write ran, and that a session read reflects the session's last served write and its token.
+// Writes that a promotion discarded are exempt.
+func (w *World) checkServed(c *driver.Command, q *request) {
 	if classes()[q.class].Need == balance.NeedWrite && q.runs == 0 {
-		w.breaks(PropertyAnswer, "request %d is served and never ran", c.Request)
+		w.violate(PropertyOneAnswer, "request %d is answered as served and never ran", c.Request)
 	}
 	cl := w.clients[q.client]
-	for _, k := range w.log { // what it was told is saved, by the log alone
+	for _, k := range w.log { // the write's position comes from the model's log, not from the engine
 		if k.request == c.Request {
-			cl.saved = k
+			cl.lastWrite = k
 		}
 	}
-	if at := c.Answer.Facts.Position; classes()[q.class].Need == balance.NeedSession && at.Timeline == cl.saved.timeline && at.LSN < cl.saved.lsn {
-		w.breaks(PropertyFresh, "request %d is served from %v, its session saved at %d", c.Request, at, cl.saved.lsn)
+	if at := c.Answer.Facts.Position; classes()[q.class].Need == balance.NeedSession && at.Timeline == cl.lastWrite.timeline && at.LSN < cl.lastWrite.lsn {
+		w.violate(PropertyReadPosition, "request %d is served from %v, the session's last write is at %d", c.Request, at, cl.lastWrite.lsn)
 	}
 	if classes()[q.class].Need != balance.NeedSession || q.need.IsZero() || q.need.LSN == position.Unknown {
 		return
 	}
 	at := c.Answer.Facts.Position
 	if at.Timeline == q.need.Timeline && at.LSN < q.need.LSN || at.Timeline < q.need.Timeline {
-		w.breaks(PropertyFresh, "request %d is served from %v, its token asks for %v", c.Request, at, q.need)
+		w.violate(PropertyReadPosition, "request %d is served from %v, the token requires %v", c.Request, at, q.need)
 	}
 }
 
-// quietFor is how long a world is left alone until nothing of its requests may be left.
-const quietFor = 5 * time.Second
+// settleTime is the time within which a World without further faults must finish all its requests.
+const settleTime = 5 * time.Second
 
-// quiet lets a state end: all that can come comes, no further fault strikes, and time passes. Then every request has its
-// answer and nothing is left in the engine.
-func (w *World) quiet() {
-	for end := w.now + quietFor; w.now < end; {
+// settle runs a state to its end: pending events occur, no further fault does, and settleTime passes. Then it checks that
+// every request is answered and that the engine holds nothing for them.
+func (w *World) settle() {
+	for end := w.now + settleTime; w.now < end; {
 		moved := false
 		for _, ev := range w.enabled() {
-			if w.faultless(ev.name) {
-				ev.do()
+			if w.isProgress(ev.name) {
+				ev.apply()
 				moved = true
 				break
 			}
 		}
 		if !moved {
-			w.tick()
+			w.advance()
 		}
 	}
 	for id, q := range w.reqs {
-		if q.answers == 0 && !q.left {
-			w.breaks(PropertyAnswered, "request %d of class %s is never answered", id, classes()[q.class].Name)
+		if q.answers == 0 && !q.disconnected {
+			w.violate(PropertyHeldWriteAnswered, "request %d of class %s is never answered", id, classes()[q.class].Name)
 		}
 	}
 	if n := w.engine.Held(); n != 0 {
-		w.breaks(PropertyLeak, "%d requests are held after all is quiet", n)
+		w.violate(PropertyLeak, "%d requests are held after the run has settled", n)
 	}
-	for id, l := range w.conns {
-		if l.out != nil {
-			w.breaks(PropertyLeak, "connection %d has something out after all is quiet", id)
+	for id, conn := range w.conns {
+		if conn.pending != nil {
+			w.violate(PropertyLeak, "connection %d has a query pending after the run has settled", id)
 		}
 	}
 	if n := w.engine.Conns(); n > len(w.nodes)*(engineConfig().PoolSize+1) || n != len(w.conns) {
-		w.breaks(PropertyLeak, "%d connections are in the books, %d are there", n, len(w.conns))
+		w.violate(PropertyLeak, "the engine counts %d connections, the network has %d", n, len(w.conns))
 	}
 }
 
-// faultless tells whether an event is one that comes of itself.
-func (w *World) faultless(name string) bool {
+// isProgress reports whether an event occurs without a fault, a client's action or the passing of time.
+func (w *World) isProgress(name string) bool {
 	for _, word := range []string{" comes up", " runs request", "the answer to", " replays the log", "the cancel for"} {
 		if contains(name, word) {
 			return true
--- a/explore/walk.go
+++ b/explore/walk.go
@@ -10,9 +10,11 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// Walk takes random ways through settings that are too large to go through whole, each way with a bias of its own: some
-// kinds of event are left out, some made likely, so that the rare ones meet. It ends with the first violation, shortened.
-func Walk(ctx context.Context, set Setting, seed uint64, walks, procs int, progress func(done int)) (*Violation, int, error) {
+// Walk makes random walks of cfg.Depth events through state spaces that are too large to explore exhaustively. Each walk
+// weights kinds of events at random, some nearly to zero, so that rare events coincide. Walk stops at the first violation and
+// returns it, shortened by Shrink, or nil if there is none, with the number of events played. It calls progress, unless nil,
+// with the number of walks done; at most procs walks run at once. It returns ctx's error if ctx ends first.
+func Walk(ctx context.Context, cfg Config, seed uint64, walks, procs int, progress func(done int)) (*Violation, int, error) {
 	g, ctx := errgroup.WithContext(ctx)
 	g.SetLimit(max(1, procs))
 	var mu sync.Mutex
@@ -21,12 +23,12 @@
 	for n := range walks {
 		g.Go(func() error {
 			mu.Lock()
-			over := found != nil
+			stop := found != nil
 			mu.Unlock()
-			if over || ctx.Err() != nil {
+			if stop || ctx.Err() != nil {
 				return ctx.Err()
 			}
-			v, took, err := walk(set, rand.New(rand.NewPCG(seed, uint64(n))))
+			v, took, err := walk(cfg, rand.New(rand.NewPCG(seed, uint64(n))))
 			mu.Lock()
 			defer mu.Unlock()
 			if steps += took; v != nil && found == nil {
@@ -42,59 +44,60 @@
 		return nil, steps, err
 	}
 	if found != nil {
-		found = Shrink(set, found)
+		found = Shrink(cfg, found)
 	}
 	return found, steps, nil
 }
 
-// kinds are the words by which a walk tells events apart for its bias.
-var kinds = []string{" asks for ", " leaves", " comes up", " runs request", "the cancel for", "the answer to", " breaks", " replays", " drains", " dies", "does not notice", "time passes", "a second passes"}
+// eventKinds are the parts of event names by which a walk assigns weights.
+var eventKinds = []string{" asks for ", " leaves", " comes up", " runs request", "the cancel for", "the answer to", " breaks", " replays", " drains", " dies", "does not notice", "time passes", "a second passes"}
 
-func walk(set Setting, rng *rand.Rand) (*Violation, int, error) {
-	w, err := New(set)
+func walk(cfg Config, rng *rand.Rand) (*Violation, int, error) {
+	w, err := New(cfg)
 	if err != nil {
 		return nil, 0, err
 	}
-	weights := make([]float64, len(kinds))
+	weights := make([]float64, len(eventKinds))
 	for i := range weights {
 		weights[i] = []float64{0.03, 0.3, 1, 1, 4}[rng.IntN(5)]
 	}
 	var events []string
-	for n := range set.Depth {
+	for n := range cfg.Depth {
 		all := w.enabled()
 		sum := 0.0
-		each := make([]float64, len(all))
+		weightOf := make([]float64, len(all))
 		for i := range all {
-			each[i] = 1
-			for k, word := range kinds {
+			weightOf[i] = 1
+			for k, word := range eventKinds {
 				if strings.Contains(all[i].name, word) {
-					each[i] = weights[k]
+					weightOf[i] = weights[k]
 				}
 			}
-			sum += each[i]
+			sum += weightOf[i]
 		}
 		draw, at := rng.Float64()*sum, 0
-		for ; at < len(all)-1 && draw >= each[at]; at++ {
-			draw -= each[at]
+		for ; at < len(all)-1 && draw >= weightOf[at]; at++ {
+			draw -= weightOf[at]
 		}
 		events = append(events, all[at].name)
-		all[at].do()
+		all[at].apply()
 		if len(w.broken) > 0 {
 			return &Violation{w.broken[0], events}, n + 1, nil
 		}
 	}
-	if w.quiet(); len(w.broken) > 0 {
-		return &Violation{w.broken[0], events}, set.Depth, nil
+	if w.settle(); len(w.broken) > 0 {
+		return &Violation{w.broken[0], events}, cfg.Depth, nil
 	}
-	return nil, set.Depth, nil
+	return nil, cfg.Depth, nil
 }
 
-// Shrink takes events out of a story as long as it still breaks the same property.
-func Shrink(set Setting, v *Violation) *Violation {
-	property, _, _ := strings.Cut(v.What, ":")
+// Shrink removes events from a violation as long as the remaining ones still break the same property. It begins no further
+// round of removals after 20 s.
+func Shrink(cfg Config, v *Violation) *Violation {
+	property, _, _ := strings.Cut(v.Message, ":")
 	best := v
 	for end := time.Now().Add(20 * time.Second); time.Now().Before(end); {
-		smaller := shorter(set, best, property)
+		smaller := shorter(cfg, best, property)
 		if smaller == nil {
 			return best
 		}
@@ -103,12 +106,12 @@
 	return best
 }
 
-// shorter is a story with some events less, nil if none does.
-func shorter(set Setting, v *Violation, property string) *Violation {
+// shorter returns a violation of the same property with fewer events, or nil if removing any span of events loses it.
+func shorter(cfg Config, v *Violation, property string) *Violation {
 	for span := max(1, len(v.Events)/2); span >= 1; span /= 2 {
 		for from := 0; from+span <= len(v.Events); from++ {
 			events := append(append([]string(nil), v.Events[:from]...), v.Events[from+span:]...)
-			if what, at, ok := breaks(set, events, property); ok {
+			if what, at, ok := reproduces(cfg, events, property); ok {
 				return &Violation{what, events[:at]}
 			}
 		}
@@ -116,9 +119,10 @@
 	return nil
 }
 
-// breaks plays events, those that can't happen left out, and tells whether the property breaks, and after how many.
-func breaks(set Setting, events []string, property string) (what string, at int, ok bool) {
-	w, err := New(set)
+// reproduces plays events and reports whether they break the property, with the violation and the number of events played.
+// An event that is not possible ends the replay without a violation.
+func reproduces(cfg Config, events []string, property string) (what string, at int, ok bool) {
+	w, err := New(cfg)
 	if err != nil {
 		return "", 0, false
 	}
@@ -126,7 +130,7 @@
 		found := false
 		for _, e := range w.enabled() {
 			if e.name == name {
-				e.do()
+				e.apply()
 				found = true
 				break
 			}
@@ -138,7 +142,7 @@
 			return w.broken[0], i + 1, strings.HasPrefix(w.broken[0], property)
 		}
 	}
-	if w.quiet(); len(w.broken) > 0 {
+	if w.settle(); len(w.broken) > 0 {
 		return w.broken[0], len(events), strings.HasPrefix(w.broken[0], property)
 	}
 	return "", 0, false
