--- a/cmd/umberladder/experiment.go
+++ b/cmd/umberladder/experiment.go
@@ -16,7 +16,7 @@
 	"umberladder/lab/world"
 )
 
-// runOptions are the flags of lab run.
+// runOptions holds the flags of "lab run".
 type runOptions struct {
 	seed           uint64
 	repeats, procs int
@@ -24,7 +24,7 @@
 	record, plant  string
 }
 
-// experimentCommand plays an experiment file.
+// experimentCommand returns "lab run", which plays an experiment file.
 func experimentCommand() *cobra.Command {
 	var o runOptions
 	cmd := &cobra.Command{
@@ -43,23 +43,23 @@
 		},
 	}
 	f := cmd.Flags()
-	f.Uint64Var(&o.seed, "seed", 1, "of the first repeat; the others count from it")
-	f.IntVar(&o.repeats, "repeats", 0, "in place of the file's")
-	f.IntVar(&o.procs, "procs", runtime.GOMAXPROCS(0), "simulated runs at once; the figures are the same whatever it is")
+	f.Uint64Var(&o.seed, "seed", 1, "seed of the first repeat; later repeats add 1 each")
+	f.IntVar(&o.repeats, "repeats", 0, "number of repeats, instead of the file's")
+	f.IntVar(&o.procs, "procs", runtime.GOMAXPROCS(0), "simulated runs at once; the figures do not depend on it")
 	f.BoolVar(&o.live, "live", false, "play it with real drivers, stand-in db nodes and gRPC clients on loopback, in real time")
-	f.BoolVar(&o.both, "both", false, "play it in both ways and say where they differ")
-	f.StringVar(&o.record, "record", "", "directory to keep every request and attempt in, for lab query and lab report")
-	f.StringVar(&o.plant, "plant", "none", "a fault put in on purpose, which the run must find: "+strings.Join(world.PlantNames()[1:], ", "))
+	f.BoolVar(&o.both, "both", false, "play it simulated and live, and print where they differ")
+	f.StringVar(&o.record, "record", "", "directory to record every request and attempt in, for lab query and lab report")
+	f.StringVar(&o.plant, "plant", "none", "a fault to inject, which the run must find: "+strings.Join(world.PlantNames()[1:], ", "))
 	return cmd
 }
 
-// livePlayer plays worlds on sockets.
+// livePlayer plays experiments on sockets in real time.
 var livePlayer = experiment.Player{Name: "live", Play: lab.Live}
 
 func (o *runOptions) run(cmd *cobra.Command, x *experiment.Experiment) error {
 	plant, ok := world.PlantNamed(o.plant)
 	if !ok {
-		return fmt.Errorf("--plant %q is not known; there are %s", o.plant, strings.Join(world.PlantNames(), ", "))
+		return fmt.Errorf("--plant %q is unknown; want one of %s", o.plant, strings.Join(world.PlantNames(), ", "))
 	}
 	broken := 0
 	var outcomes [][]experiment.Outcome
@@ -78,20 +78,21 @@
 		fmt.Fprintf(cmd.OutOrStdout(), "rules broken: %d\n", broken)
 	}
 	if broken > 0 {
-		return errQuiet
+		return errReported
 	}
 	return nil
 }
 
-// play plays an experiment in one of the two ways, records it if that is wanted, and writes what it came to.
+// play plays an experiment with one player, records it if o.record is set, and prints the results. It returns the outcomes and
+// the number of broken rules.
 func (o *runOptions) play(cmd *cobra.Command, x *experiment.Experiment, p experiment.Player, plant world.Plant) ([]experiment.Outcome, int, error) {
 	options := experiment.Options{Seed: o.seed, Procs: o.procs, Player: p, Plant: plant, Progress: func(arm string, repeat int) {
 		fmt.Fprintf(cmd.ErrOrStderr(), "%s, %s, repeat %d: done\n", p.Name, arm, repeat+1)
 	}}
 	if p.Name == livePlayer.Name {
-		options.Procs = 1 // runs at once would be in each other's way
+		options.Procs = 1 // concurrent live runs would compete for this machine
 	} else {
-		defer debug.SetGCPercent(debug.SetGCPercent(400)) // memory is there, and most of it is young
+		defer debug.SetGCPercent(debug.SetGCPercent(400)) // trades memory for fewer collections; most objects are short-lived
 	}
 	var w *record.Writer
 	if o.record != "" {
@@ -117,14 +118,14 @@
 	return all, x.Write(cmd.OutOrStdout(), p, all), nil
 }
 
-// huntCommand looks for an experiment that breaks a rule.
+// huntCommand returns "lab hunt", which searches for an experiment that breaks a rule.
 func huntCommand() *cobra.Command {
 	var seed uint64
 	var runs int
 	var write string
 	cmd := &cobra.Command{
 		Use:   "hunt",
-		Short: "Look for the smallest experiment that breaks a rule, in simulated time; exit 1 if there is one",
+		Short: "Search for the smallest experiment that breaks a rule, in simulated time; exit 1 if there is one",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			f, err := experiment.Hunt(cmd.Context(), seed, runs, nil, func(f *experiment.Find) {
@@ -156,25 +157,25 @@
 				n++
 			}
 			if fmt.Fprintf(w, "rules broken: %d\n", n); n > 0 {
-				return errQuiet
+				return errReported
 			}
 			return nil
 		},
 	}
 	fl := cmd.Flags()
-	fl.Uint64Var(&seed, "seed", 1, "settles what is drawn")
+	fl.Uint64Var(&seed, "seed", 1, "seed of the random choices")
 	fl.IntVar(&runs, "runs", 300, "experiments to play, shrinking included")
 	fl.StringVar(&write, "write", "", "file for the experiment that was found")
 	return cmd
 }
 
-// sweepCommand plays a grid, and goes on with one that was killed.
+// sweepCommand returns "lab sweep", which plays a grid of experiments, or the rest of an interrupted one.
 func sweepCommand() *cobra.Command {
 	var seed uint64
 	var procs, repeats int
 	cmd := &cobra.Command{
 		Use:   "sweep FILE DIR",
-		Short: "Play every combination of a file's vary lines, in simulated time; again with the same DIR, what is missing",
+		Short: "Play every combination of a file's vary lines, in simulated time; a second run with the same DIR plays what is missing",
 		Args:  cobra.ExactArgs(2),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			x, err := experiment.ReadGrid(args[0])
@@ -194,23 +195,23 @@
 			}
 			fmt.Fprintf(w, "%d of %d runs were there; the best first\n", held, len(x.Arms)*x.Repeats)
 			if x.Write(w, experiment.Simulated, experiment.Best(all)) > 0 {
-				return errQuiet
+				return errReported
 			}
 			return nil
 		},
 	}
 	f := cmd.Flags()
-	f.Uint64Var(&seed, "seed", 1, "of the first repeat; the others count from it")
-	f.IntVar(&repeats, "repeats", 0, "in place of the file's")
-	f.IntVar(&procs, "procs", runtime.GOMAXPROCS(0), "runs at once; the figures are the same whatever it is")
+	f.Uint64Var(&seed, "seed", 1, "seed of the first repeat; later repeats add 1 each")
+	f.IntVar(&repeats, "repeats", 0, "number of repeats, instead of the file's")
+	f.IntVar(&procs, "procs", runtime.GOMAXPROCS(0), "runs at once; the figures do not depend on it")
 	return cmd
 }
 
-// importCommand turns a day of the users' bench into an experiment.
+// importCommand returns "lab import", which converts a day of the users' benchmark to an experiment.
 func importCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "import DAY.json",
-		Short: "Write a day of the users' bench as an experiment",
+		Short: "Write a day of the users' benchmark as an experiment",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			text, err := lab.Import(args[0])
--- a/cmd/umberladder/explore.go
+++ b/cmd/umberladder/explore.go
@@ -13,38 +13,38 @@
 	"umberladder/explore"
 )
 
-// exploreCommand goes through orders of events with the real engine.
+// exploreCommand returns "explore", the commands of the model checker.
 func exploreCommand() *cobra.Command {
-	cmd := &cobra.Command{Use: "explore", Short: "Go through every order of events that can happen to a few clients and nodes, with the real engine"}
-	cmd.AddCommand(exploreRun(), exploreWalk(), exploreReplay())
+	cmd := &cobra.Command{Use: "explore", Short: "Check the real engine against every order of events of a few clients and nodes"}
+	cmd.AddCommand(exploreRunCommand(), exploreWalkCommand(), exploreReplayCommand())
 	return cmd
 }
 
-func settingFlags(cmd *cobra.Command, cfg *explore.Config) {
+func configFlags(cmd *cobra.Command, cfg *explore.Config) {
 	f := cmd.Flags()
 	f.IntVar(&cfg.Clients, "clients", cfg.Clients, "clients, each with a script of requests")
 	f.IntVar(&cfg.Nodes, "nodes", cfg.Nodes, "nodes of the slice, the primary among them")
-	f.IntVar(&cfg.Depth, "depth", cfg.Depth, "events of a path")
-	f.IntVar(&cfg.Resets, "resets", cfg.Resets, "connections that may be cut")
-	f.IntVar(&cfg.Drains, "drains", cfg.Drains, "nodes that the list may call away")
-	f.IntVar(&cfg.Crashes, "crashes", cfg.Crashes, "primaries that may die, another being promoted")
+	f.IntVar(&cfg.Depth, "depth", cfg.Depth, "maximum number of events in a path")
+	f.IntVar(&cfg.Resets, "resets", cfg.Resets, "connections that may break")
+	f.IntVar(&cfg.Drains, "drains", cfg.Drains, "nodes that the node list may mark as draining")
+	f.IntVar(&cfg.Crashes, "crashes", cfg.Crashes, "primaries that may crash; a replica is promoted each time")
 	f.IntVar(&cfg.StalePrimaries, "zombies", cfg.StalePrimaries, "primaries that may be deposed without noticing")
-	f.IntVar(&cfg.Disconnects, "leaves", cfg.Disconnects, "clients that may leave")
-	f.StringSliceVar(&cfg.Script, "script", cfg.Script, "the classes of each client's requests, one after the other: article, own, fresh, write, post")
+	f.IntVar(&cfg.Disconnects, "leaves", cfg.Disconnects, "clients that may disconnect")
+	f.StringSliceVar(&cfg.Script, "script", cfg.Script, "classes of each client's requests in sequence: article, own, fresh, write, post")
 }
 
-func exploreRun() *cobra.Command {
+func exploreRunCommand() *cobra.Command {
 	cfg := explore.Default()
 	var o explore.Options
 	var write string
-	cmd := &cobra.Command{Use: "run", Short: "Every order up to a depth; exit 1 with the shortest story if a property breaks", Args: cobra.NoArgs}
-	settingFlags(cmd, &cfg)
+	cmd := &cobra.Command{Use: "run", Short: "Explore every order of events up to a depth; exit 1 with the shortest trace if a property is violated", Args: cobra.NoArgs}
+	configFlags(cmd, &cfg)
 	f := cmd.Flags()
-	f.IntVar(&o.Procs, "procs", runtime.GOMAXPROCS(0), "at once; what is found is the same whatever it is")
-	f.IntVar(&o.EndingInterval, "endings", 5, "one new state in so many is played to its quiet end")
-	f.IntVar(&o.MaxStates, "states", 0, "end after the level in which so many are reached; 0: no bound")
-	f.DurationVar(&o.TimeLimit, "limit", 0, "likewise after so long")
-	f.StringVar(&write, "write", "", "file for the story")
+	f.IntVar(&o.Procs, "procs", runtime.GOMAXPROCS(0), "states expanded at once; the result does not depend on it")
+	f.IntVar(&o.EndingInterval, "endings", 5, "one new state in so many is also run until all requests have ended")
+	f.IntVar(&o.MaxStates, "states", 0, "end after the level that reaches this number of states; 0 for no bound")
+	f.DurationVar(&o.TimeLimit, "limit", 0, "end after the level that exceeds this time; 0 for no bound")
+	f.StringVar(&write, "write", "", "file to write the trace to")
 	cmd.RunE = func(cmd *cobra.Command, _ []string) error {
 		r, err := explore.Run(cmd.Context(), cfg, o, func(depth, states int) { fmt.Fprintf(cmd.ErrOrStderr(), "depth %d: %d states\n", depth, states) })
 		if err != nil {
@@ -67,25 +67,25 @@
 			n++
 		}
 		if fmt.Fprintf(w, "rules broken: %d\n", n); n > 0 {
-			return errQuiet
+			return errReported
 		}
 		return nil
 	}
 	return cmd
 }
 
-func exploreWalk() *cobra.Command {
+func exploreWalkCommand() *cobra.Command {
 	cfg := explore.Config{Clients: 6, Nodes: 5, Depth: 120, Resets: 5, Drains: 2, Crashes: 2, StalePrimaries: 1, Disconnects: 2, Script: []string{"write own write own", "post own post", "article fresh own write", "fresh write post own"}}
 	var seed uint64
 	var walks, procs int
 	var write string
-	cmd := &cobra.Command{Use: "walk", Short: "Random ways through larger settings; exit 1 with a short story if a property breaks", Args: cobra.NoArgs}
-	settingFlags(cmd, &cfg)
+	cmd := &cobra.Command{Use: "walk", Short: "Take random walks through larger configurations; exit 1 with a short trace if a property is violated", Args: cobra.NoArgs}
+	configFlags(cmd, &cfg)
 	f := cmd.Flags()
-	f.Uint64Var(&seed, "seed", 1, "settles all that is drawn")
-	f.IntVar(&walks, "walks", 2000, "ways to take")
-	f.IntVar(&procs, "procs", runtime.GOMAXPROCS(0), "at once")
-	f.StringVar(&write, "write", "", "file for the story")
+	f.Uint64Var(&seed, "seed", 1, "seed of the random choices")
+	f.IntVar(&walks, "walks", 2000, "number of walks")
+	f.IntVar(&procs, "procs", runtime.GOMAXPROCS(0), "walks at once")
+	f.StringVar(&write, "write", "", "file to write the trace to")
 	cmd.RunE = func(cmd *cobra.Command, _ []string) error {
 		v, steps, err := explore.Walk(cmd.Context(), cfg, seed, walks, procs, nil)
 		if err != nil {
@@ -103,7 +103,7 @@
 			n++
 		}
 		if fmt.Fprintf(w, "rules broken: %d\n", n); n > 0 {
-			return errQuiet
+			return errReported
 		}
 		return nil
 	}
@@ -123,10 +123,10 @@
 	return os.WriteFile(write, []byte(explore.FormatTrace(cfg, v)), 0o644)
 }
 
-func exploreReplay() *cobra.Command {
+func exploreReplayCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "replay FILE",
-		Short: "Play a story again and tell what happens; exit 1 if it breaks a property",
+		Short: "Replay a trace file and print each step; exit 1 if it violates a property",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			cfg, events, err := explore.ReadTrace(args[0])
@@ -138,7 +138,7 @@
 				return fmt.Errorf("%s: %w", args[0], err)
 			}
 			if fmt.Fprintf(cmd.OutOrStdout(), "rules broken: %d\n", len(broken)); len(broken) > 0 {
-				return errQuiet
+				return errReported
 			}
 			return nil
 		},
--- a/cmd/umberladder/inventory.go
+++ b/cmd/umberladder/inventory.go
@@ -22,8 +22,8 @@
 )
 
 func inventoryCommand() *cobra.Command {
-	cmd := &cobra.Command{Use: "inventory", Short: "Check, show and compare lists of db nodes, and steer how a driver takes them"}
-	cmd.AddCommand(inventoryCheck(), inventoryShow(), inventoryConvert(), inventoryDiff(), inventoryLint(), inventoryApply(), inventoryStatus(),
+	cmd := &cobra.Command{Use: "inventory", Short: "Check, show and compare lists of db nodes, and confirm removals to a driver"}
+	cmd.AddCommand(inventoryCheckCommand(), inventoryShowCommand(), inventoryConvertCommand(), inventoryDiffCommand(), inventoryLintCommand(), inventoryApplyCommand(), inventoryStatusCommand(),
 		&cobra.Command{Use: "schema", Short: "Print the JSON Schema of the YAML forms, for editors", Args: cobra.NoArgs,
 			RunE: func(cmd *cobra.Command, _ []string) error {
 				_, err := cmd.OutOrStdout().Write(inventory.Schema)
@@ -32,20 +32,21 @@
 	return cmd
 }
 
-// load reads an inventory; its problems go to standard error, one a line.
+// loadInventory reads an inventory and prints its problems to standard error, one per line.
 func loadInventory(cmd *cobra.Command, paths []string, o inventory.Options) (*inventory.Set, error) {
 	set, err := inventory.Load(paths, o)
 	var problems inventory.Problems
 	if errors.As(err, &problems) {
 		fmt.Fprintln(cmd.ErrOrStderr(), err)
-		return nil, errQuiet
+		return nil, errReported
 	}
 	return set, err
 }
 
-// optionFlags lets a command check against a driver's settings.
-func optionFlags(cmd *cobra.Command) func() (inventory.Options, error) {
-	config := cmd.Flags().String("config", "", "settings whose halls and 'membership least' are checked too")
+// inventoryOptionFlags adds the flag --config. The returned function reads the settings that it names, and gives the limits
+// by which an inventory is checked.
+func inventoryOptionFlags(cmd *cobra.Command) func() (inventory.Options, error) {
+	config := cmd.Flags().String("config", "", "settings file whose halls and 'membership least' are checked too")
 	return func() (inventory.Options, error) {
 		if *config == "" {
 			return inventory.Options{}, nil
@@ -58,9 +59,9 @@
 	}
 }
 
-func inventoryCheck() *cobra.Command {
-	cmd := &cobra.Command{Use: "check PATH ...", Short: "Tell every mistake; exit 1 if there is one", Args: cobra.MinimumNArgs(1)}
-	options := optionFlags(cmd)
+func inventoryCheckCommand() *cobra.Command {
+	cmd := &cobra.Command{Use: "check PATH ...", Short: "Print every error; exit 1 if there is one", Args: cobra.MinimumNArgs(1)}
+	options := inventoryOptionFlags(cmd)
 	cmd.RunE = func(cmd *cobra.Command, args []string) error {
 		o, err := options()
 		if err != nil {
@@ -75,9 +76,9 @@
 	return cmd
 }
 
-func inventoryShow() *cobra.Command {
+func inventoryShowCommand() *cobra.Command {
 	cmd := &cobra.Command{Use: "show PATH ...", Short: "Print the nodes of an inventory", Args: cobra.MinimumNArgs(1)}
-	options := optionFlags(cmd)
+	options := inventoryOptionFlags(cmd)
 	format := cmd.Flags().String("format", "table", "one of "+strings.Join(inventory.Formats, ", "))
 	cmd.RunE = func(cmd *cobra.Command, args []string) error {
 		o, err := options()
@@ -93,8 +94,8 @@
 	return cmd
 }
 
-func inventoryConvert() *cobra.Command {
-	cmd := &cobra.Command{Use: "convert PATH ...", Short: "Write an inventory in another form", Args: cobra.MinimumNArgs(1)}
+func inventoryConvertCommand() *cobra.Command {
+	cmd := &cobra.Command{Use: "convert PATH ...", Short: "Write an inventory in another format", Args: cobra.MinimumNArgs(1)}
 	to := cmd.Flags().String("to", "yaml", "yaml or csv")
 	cmd.RunE = func(cmd *cobra.Command, args []string) error {
 		if *to != "yaml" && *to != "csv" {
@@ -109,13 +110,13 @@
 	return cmd
 }
 
-func inventoryDiff() *cobra.Command {
+func inventoryDiffCommand() *cobra.Command {
 	cmd := &cobra.Command{
 		Use:   "diff A B",
-		Short: "Tell what a driver would do if inventory B took the place of A, and what it would hold back",
+		Short: "Print what a driver would do if inventory B replaced A, and what it would hold back",
 		Args:  cobra.ExactArgs(2),
 	}
-	config := cmd.Flags().String("config", "", "settings whose membership block counts")
+	config := cmd.Flags().String("config", "", "settings file whose membership block applies")
 	cmd.RunE = func(cmd *cobra.Command, args []string) error {
 		cfg := membership.Defaults()
 		if *config != "" {
@@ -146,10 +147,10 @@
 	return cmd
 }
 
-func inventoryLint() *cobra.Command {
+func inventoryLintCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "lint PATH ...",
-		Short: "Tell what is legal but odd; exit 0 all the same",
+		Short: "Print what is valid but suspicious; exit 0 nevertheless",
 		Args:  cobra.MinimumNArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			set, err := loadInventory(cmd, args, inventory.Options{})
@@ -168,9 +169,9 @@
 	}
 }
 
-// control asks a driver of its inventory over its control socket.
-func control(ctx context.Context, socket, method, path string) (*server.Status, error) {
-	text, err := askControl(ctx, socket, method, path)
+// requestStatus sends a request to a driver's control socket and returns the inventory's status from the answer.
+func requestStatus(ctx context.Context, socket, method, path string) (*server.Status, error) {
+	text, err := requestControl(ctx, socket, method, path)
 	if err != nil {
 		return nil, err
 	}
@@ -178,8 +179,8 @@
 	return &st, json.Unmarshal(text, &st)
 }
 
-// askControl talks to a driver over its control socket.
-func askControl(ctx context.Context, socket, method, path string) ([]byte, error) {
+// requestControl sends a request to a driver's control socket and returns the body of the answer. It gives up after 10 s.
+func requestControl(ctx context.Context, socket, method, path string) ([]byte, error) {
 	client := &http.Client{Transport: &http.Transport{DialContext: func(ctx context.Context, _, _ string) (net.Conn, error) {
 		return (&net.Dialer{}).DialContext(ctx, "unix", socket)
 	}}, Timeout: 10 * time.Second}
@@ -194,14 +195,14 @@
 	defer res.Body.Close()
 	text, err := io.ReadAll(io.LimitReader(res.Body, 64<<20))
 	if err != nil || res.StatusCode != http.StatusOK {
-		return nil, fmt.Errorf("the driver answered %s: %s", res.Status, strings.TrimSpace(string(text)))
+		return nil, fmt.Errorf("control socket: the driver answered %s: %s", res.Status, strings.TrimSpace(string(text)))
 	}
 	return text, nil
 }
 
-func controlFlags(cmd *cobra.Command) func() (string, error) {
+func controlSocketFlags(cmd *cobra.Command) func() (string, error) {
 	socket := cmd.Flags().String("control", "", "path of the driver's control socket")
-	config := cmd.Flags().String("config", "", "settings that name it")
+	config := cmd.Flags().String("config", "", "settings file that names the control socket")
 	return func() (string, error) {
 		if *socket != "" {
 			return *socket, nil
@@ -220,10 +221,10 @@
 	}
 }
 
-func inventoryApply() *cobra.Command {
-	cmd := &cobra.Command{Use: "apply --confirm", Short: "Tell a driver that what its inventory lacks is meant", Args: cobra.NoArgs}
-	socket := controlFlags(cmd)
-	confirm := cmd.Flags().Bool("confirm", false, "without it nothing is done but shown")
+func inventoryApplyCommand() *cobra.Command {
+	cmd := &cobra.Command{Use: "apply --confirm", Short: "Confirm to a driver that nodes missing from its inventory are removed on purpose", Args: cobra.NoArgs}
+	socket := controlSocketFlags(cmd)
+	confirm := cmd.Flags().Bool("confirm", false, "without it the status is only shown")
 	cmd.RunE = func(cmd *cobra.Command, _ []string) error {
 		path, err := socket()
 		if err != nil {
@@ -233,7 +234,7 @@
 		if *confirm {
 			method, where = http.MethodPost, "/inventory/confirm"
 		}
-		st, err := control(cmd.Context(), path, method, where)
+		st, err := requestStatus(cmd.Context(), path, method, where)
 		if err != nil {
 			return err
 		}
@@ -242,15 +243,15 @@
 	return cmd
 }
 
-func inventoryStatus() *cobra.Command {
-	cmd := &cobra.Command{Use: "status", Short: "Tell what a driver has in force and what it holds back", Args: cobra.NoArgs}
-	socket := controlFlags(cmd)
+func inventoryStatusCommand() *cobra.Command {
+	cmd := &cobra.Command{Use: "status", Short: "Print the nodes that a driver has in force and those it holds back", Args: cobra.NoArgs}
+	socket := controlSocketFlags(cmd)
 	cmd.RunE = func(cmd *cobra.Command, _ []string) error {
 		path, err := socket()
 		if err != nil {
 			return err
 		}
-		st, err := control(cmd.Context(), path, http.MethodGet, "/inventory")
+		st, err := requestStatus(cmd.Context(), path, http.MethodGet, "/inventory")
 		if err != nil {
 			return err
 		}
--- a/cmd/umberladder/load.go
+++ b/cmd/umberladder/load.go
@@ -10,17 +10,17 @@
 	"umberladder/load"
 )
 
-// loadCommand sends requests to any driver and judges goals.
+// loadCommand returns "load", which sends requests to drivers and checks goals.
 func loadCommand() *cobra.Command {
 	var drivers, slices, goals []string
 	var rate float64
 	var callers int
-	var lasts, warmUp time.Duration
+	var duration, warmUp time.Duration
 	var seed uint64
 	var quiet bool
 	cmd := &cobra.Command{
 		Use:   "load PLAN",
-		Short: "Send requests to drivers at a rate that does not wait for answers; exit 1 if a goal is missed",
+		Short: "Send requests to drivers in an open loop by default; exit 1 if a goal is missed",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			p, err := load.Read(args[0])
@@ -41,7 +41,7 @@
 				p.Callers, p.Shape = callers, load.Shape{}
 			}
 			if set("for") {
-				p.For = lasts
+				p.For = duration
 			}
 			if set("warm-up") {
 				p.WarmUp = warmUp
@@ -68,20 +68,20 @@
 				return err
 			}
 			if r.Write(cmd.OutOrStdout()); !r.Good() {
-				return errQuiet
+				return errReported
 			}
 			return nil
 		},
 	}
 	f := cmd.Flags()
-	f.StringSliceVar(&drivers, "driver", nil, "addresses of drivers, in place of the plan's")
-	f.StringSliceVar(&slices, "slice", nil, "slices, in place of the plan's")
-	f.Float64Var(&rate, "rate", 0, "requests a second, in place of the plan's")
-	f.IntVar(&callers, "callers", 0, "closed loop of so many callers, in place of a rate")
-	f.DurationVar(&lasts, "for", 0, "how long it counts, in place of the plan's")
-	f.DurationVar(&warmUp, "warm-up", 0, "sent before it counts, in place of the plan's")
-	f.Uint64Var(&seed, "seed", 0, "settles all that is drawn, in place of the plan's")
-	f.StringArrayVar(&goals, "require", nil, `a goal beside the plan's, like "p99(own-read) < 50ms", "served(all) > 99%" or "rate(all) > 400"`)
-	f.BoolVarP(&quiet, "quiet", "q", false, "no line of progress each second")
+	f.StringSliceVar(&drivers, "driver", nil, "addresses of drivers, instead of the plan's")
+	f.StringSliceVar(&slices, "slice", nil, "slices, instead of the plan's")
+	f.Float64Var(&rate, "rate", 0, "requests per second, instead of the plan's")
+	f.IntVar(&callers, "callers", 0, "closed loop with this number of callers, instead of a rate")
+	f.DurationVar(&duration, "for", 0, "length of the measurement, instead of the plan's")
+	f.DurationVar(&warmUp, "warm-up", 0, "time of load before the measurement, instead of the plan's")
+	f.Uint64Var(&seed, "seed", 0, "seed of the random choices, instead of the plan's")
+	f.StringArrayVar(&goals, "require", nil, `a goal in addition to the plan's, like "p99(own-read) < 50ms", "served(all) > 99%" or "rate(all) > 400"`)
+	f.BoolVarP(&quiet, "quiet", "q", false, "print no progress line each second")
 	return cmd
 }
--- a/cmd/umberladder/main.go
+++ b/cmd/umberladder/main.go
@@ -1,5 +1,6 @@
-// Command umberladder is a database proxy: it takes requests over gRPC and runs each at the right member of a
-// slice of PostgreSQL nodes. See README.md.
+// Command umberladder is a database proxy and its tools: it takes a subcommand, flags and settings files. It serves requests
+// over gRPC from the primary or a replica of a slice of PostgreSQL nodes, or prints the result of a tool. Operators, the shared
+// platform and CI run it; see README.md.
 package main
 
 import (
@@ -14,14 +15,14 @@
 	"github.com/spf13/cobra"
 )
 
-// errQuiet ends the program with exit status 1 after everything was said.
-var errQuiet = errors.New("")
+// errReported ends the program with exit status 1 without a further message; the command has printed the reason.
+var errReported = errors.New("")
 
 func main() {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
 	if err := rootCommand().ExecuteContext(ctx); err != nil {
-		if !errors.Is(err, errQuiet) {
+		if !errors.Is(err, errReported) {
 			fmt.Fprintln(os.Stderr, "umberladder:", err)
 		}
 		os.Exit(1)
@@ -31,7 +32,7 @@
 func rootCommand() *cobra.Command {
 	root := &cobra.Command{
 		Use:           "umberladder",
-		Short:         "A database proxy before slices of one PostgreSQL primary and its replicas",
+		Short:         "A database proxy for slices of one PostgreSQL primary and its replicas",
 		SilenceUsage:  true,
 		SilenceErrors: true,
 		Version:       version(),
--- a/cmd/umberladder/main_test.go
+++ b/cmd/umberladder/main_test.go
@@ -12,7 +12,7 @@
 	"umberladder/lab/memory"
 )
 
-// run runs the program with arguments and returns what it prints to both outputs.
+// run runs the program with arguments and returns the texts of standard output and standard error.
 func run(t *testing.T, args ...string) (out, errs string, err error) {
 	t.Helper()
 	var o, e bytes.Buffer
@@ -24,7 +24,7 @@
 	return o.String(), e.String(), err
 }
 
-// TestQueryAndToken goes the way of a user: write, look at the token, read with it, stream.
+// TestQueryAndToken writes a row, shows the token of the answer, and reads with the token and as a stream.
 func TestQueryAndToken(t *testing.T) {
 	f, err := lab.NewFleet(lab.Spec{Slices: 1, Members: 3, Drivers: 1, Node: lab.SmallNode})
 	if err != nil {
@@ -44,12 +44,12 @@
 		return out
 	}
 	out := query("write", "insert into kv (key, value) values ($1, $2)")
-	_, tok, _ := strings.Cut(strings.TrimSpace(out), "token ")
-	if shown, _, err := run(t, "token", "show", "--slice", "slice0", tok); err != nil || !strings.HasPrefix(shown, "slice0 1:0/") {
+	_, tokenText, _ := strings.Cut(strings.TrimSpace(out), "token ")
+	if shown, _, err := run(t, "token", "show", "--slice", "slice0", tokenText); err != nil || !strings.HasPrefix(shown, "slice0 1:0/") {
 		t.Errorf("token show: %q, %v", shown, err)
 	}
 	const read = "select value, lsn from kv where key = $1 and $2 <> ''"
-	if out := query("own-read", read, "--token", tok); !strings.Contains(out, "value  lsn") || !strings.Contains(out, "mark") {
+	if out := query("own-read", read, "--token", tokenText); !strings.Contains(out, "value  lsn") || !strings.Contains(out, "mark") {
 		t.Errorf("read: %s", out)
 	}
 	if out := query("stats", read, "--stream"); !strings.Contains(out, "mark\t") {
@@ -87,7 +87,7 @@
 	}
 }
 
-// TestLoad sends the plan of the documentation to a fleet; a goal that can't be met is missed, and says so.
+// TestLoad runs the documented load plan against two drivers; a goal that can't be met is reported as missed.
 func TestLoad(t *testing.T) {
 	f, err := lab.NewFleet(lab.Spec{Slices: 1, Members: 3, Drivers: 2, Node: lab.SmallNode})
 	if err != nil {
@@ -100,18 +100,18 @@
 	if err != nil && !strings.Contains(out, "void") || !strings.Contains(out, "own-read") {
 		t.Errorf("%v:\n%s", err, out)
 	}
-	if out, _, err = run(t, append(args, "--require", "p50(own-read) < 1us")...); err != errQuiet || !strings.Contains(out, "MISSED  p50(own-read) < 1us") {
+	if out, _, err = run(t, append(args, "--require", "p50(own-read) < 1us")...); err != errReported || !strings.Contains(out, "MISSED  p50(own-read) < 1us") {
 		t.Errorf("a goal that can't be met: %v:\n%s", err, out)
 	}
 }
 
-// TestLabMemory bounds a driver that is this very test program in a process of its own.
+// TestLabMemory runs the memory bench with the test program as the driver's process.
 func TestLabMemory(t *testing.T) {
 	program, err := os.Executable()
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Setenv(asProgram, "1")
+	t.Setenv(runAsProgramEnv, "1")
 	r, err := memory.Run(memory.Spec{Program: program, Limit: 192 << 20, Streams: 5000, Nodes: 1000, Reach: 50, Slow: 60, Crowd: 1000})
 	if err != nil {
 		t.Fatal(err)
@@ -122,11 +122,11 @@
 	}
 }
 
-// asProgram makes the test program run as umberladder itself.
-const asProgram = "UMBERLADDER_TEST_AS_PROGRAM"
+// runAsProgramEnv is the environment variable that makes the test program run as umberladder.
+const runAsProgramEnv = "UMBERLADDER_TEST_AS_PROGRAM"
 
 func TestMain(m *testing.M) {
-	if os.Getenv(asProgram) != "" {
+	if os.Getenv(runAsProgramEnv) != "" {
 		main()
 		return
 	}
--- a/cmd/umberladder/platform.go
+++ b/cmd/umberladder/platform.go
@@ -17,16 +17,16 @@
 func platformCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "platform",
-		Short: "Run a driver on the shared platform, by the file that LB_CONFIG names, until SIGTERM",
+		Short: "Run a driver on the shared platform until SIGTERM, configured by the file that LB_CONFIG names",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			path := os.Getenv("LB_CONFIG")
-			log := zap.New(logCore(zapcore.NewConsoleEncoder, zapcore.InfoLevel))
+			log := zap.New(newLogCore(zapcore.NewConsoleEncoder, zapcore.InfoLevel))
 			defer log.Sync()
 			reloads := make(chan *platform.Config)
-			life, end := context.WithCancel(context.WithoutCancel(cmd.Context())) // it outlasts SIGTERM: the stop takes a while
-			defer end()
-			onHangup(life, func() { readAgain(life, path, reloads, log) })
+			reloadCtx, cancelReloads := context.WithCancel(context.WithoutCancel(cmd.Context())) // outlives SIGTERM: SIGHUP is also handled during the shutdown, which takes a while
+			defer cancelReloads()
+			onSIGHUP(reloadCtx, func() { reloadConfig(reloadCtx, path, reloads, log) })
 			if path == "" {
 				return errors.New("LB_CONFIG is not set: it names the driver's configuration file")
 			}
@@ -50,25 +50,25 @@
 	}
 }
 
-// How often, and how long after the time before, a configuration that can't be read is read again: it may be half written.
+// A configuration file that can't be read may be half written: it is read again up to maxConfigRetries times.
 const (
-	rereads     = 10
-	rereadAfter = 100 * time.Millisecond
+	maxConfigRetries    = 10
+	configRetryInterval = 100 * time.Millisecond
 )
 
-// readAgain hands on a changed configuration. A file with a mistake changes nothing.
-func readAgain(ctx context.Context, path string, reloads chan<- *platform.Config, log *zap.Logger) {
+// reloadConfig sends the configuration read from path to reloads. A file with an error changes nothing.
+func reloadConfig(ctx context.Context, path string, reloads chan<- *platform.Config, log *zap.Logger) {
 	cfg, err := platform.ReadConfig(path)
 	if err != nil {
-		log.Error("configuration is not taken, the old one stays: " + err.Error())
+		log.Error("configuration rejected, the previous one stays in force: " + err.Error())
 	}
 	for n := 0; err != nil; n++ {
 		select {
-		case <-time.After(rereadAfter):
+		case <-time.After(configRetryInterval):
 		case <-ctx.Done():
 			return
 		}
-		if n == rereads {
+		if n == maxConfigRetries {
 			return
 		}
 		cfg, err = platform.ReadConfig(path)
--- a/cmd/umberladder/query.go
+++ b/cmd/umberladder/query.go
@@ -32,7 +32,7 @@
 		RunE: func(cmd *cobra.Command, args []string) error {
 			req.Statement = args[0]
 			for _, a := range args[1:] {
-				v, err := parameterOf(a)
+				v, err := parseParameter(a)
 				if err != nil {
 					return err
 				}
@@ -51,7 +51,7 @@
 			}
 			res, err := pb.NewDriverClient(conn).Execute(cmd.Context(), req)
 			if err != nil {
-				return explain(err)
+				return describeError(err)
 			}
 			printRows(cmd.OutOrStdout(), res.Columns, res.Rows)
 			fmt.Fprintf(cmd.OutOrStdout(), "%s\nserved by %s (%s) at %d:%X/%X in %d attempts\ntoken %s\n", res.CommandTag,
@@ -64,17 +64,17 @@
 	f.StringVar(&addr, "driver", "127.0.0.1:7432", "address of the driver")
 	f.StringVar(&req.Slice, "slice", "", "slice that holds the data")
 	f.StringVar(&req.Class, "class", "", "class of the request")
-	f.StringVar(&req.Session, "session", "", "session whose writes an own-read sees, where the driver follows sessions")
+	f.StringVar(&req.Session, "session", "", "session whose writes an own-read sees, if the driver tracks sessions")
 	f.StringVar(&req.Token, "token", "", "token of an earlier answer")
 	f.StringVar(&req.IdempotencyKey, "key", "", "idempotency key of a keyed write")
-	f.DurationVar(&timeout, "timeout", 0, "give up after it; 0 is the deadline of the class")
-	f.BoolVar(&stream, "stream", false, "take rows as they come")
+	f.DurationVar(&timeout, "timeout", 0, "time-out of the request; 0 for the deadline of the class")
+	f.BoolVar(&stream, "stream", false, "print rows as they arrive")
 	cmd.MarkFlagRequired("slice")
 	cmd.MarkFlagRequired("class")
 	return cmd
 }
 
-func parameterOf(a string) (*pb.Value, error) {
+func parseParameter(a string) (*pb.Value, error) {
 	kind, text, ok := strings.Cut(a, ":")
 	var err error
 	switch {
@@ -107,7 +107,7 @@
 func runStream(cmd *cobra.Command, client pb.DriverClient, req *pb.ExecuteRequest) error {
 	s, err := client.ExecuteStream(cmd.Context(), req)
 	if err != nil {
-		return explain(err)
+		return describeError(err)
 	}
 	for {
 		chunk, err := s.Recv()
@@ -115,24 +115,24 @@
 			return nil
 		}
 		if err != nil {
-			return explain(err)
+			return describeError(err)
 		}
 		switch p := chunk.Part.(type) {
 		case *pb.ExecuteChunk_Row:
-			fmt.Fprintln(cmd.OutOrStdout(), strings.Join(cells(p.Row), "\t"))
+			fmt.Fprintln(cmd.OutOrStdout(), strings.Join(formatCells(p.Row), "\t"))
 		case *pb.ExecuteChunk_End_:
 			fmt.Fprintf(cmd.OutOrStdout(), "%s\ntoken %s\n", p.End.CommandTag, p.End.Token)
 		}
 	}
 }
 
-// explain puts the driver's details into the error.
-func explain(err error) error {
+// describeError returns an error with the gRPC status of err and the time after which to retry, if the driver gave one.
+func describeError(err error) error {
 	st := status.Convert(err)
 	text := st.Message()
 	for _, d := range st.Details() {
 		if r, ok := d.(*errdetails.RetryInfo); ok {
-			text += fmt.Sprintf(" (come back in %v)", r.RetryDelay.AsDuration().Round(time.Millisecond))
+			text += fmt.Sprintf(" (retry after %v)", r.RetryDelay.AsDuration().Round(time.Millisecond))
 		}
 	}
 	return fmt.Errorf("%s: %s", st.Code(), text)
@@ -149,12 +149,12 @@
 	}
 	fmt.Fprintln(t, strings.Join(names, "\t"))
 	for _, r := range rows {
-		fmt.Fprintln(t, strings.Join(cells(r), "\t"))
+		fmt.Fprintln(t, strings.Join(formatCells(r), "\t"))
 	}
 	t.Flush()
 }
 
-func cells(r *pb.Row) []string {
+func formatCells(r *pb.Row) []string {
 	out := make([]string, len(r.Values))
 	for i, v := range r.Values {
 		switch k := v.Kind.(type) {
@@ -176,11 +176,11 @@
 }
 
 func tokenCommand() *cobra.Command {
-	cmd := &cobra.Command{Use: "token", Short: "Look at causal tokens"}
+	cmd := &cobra.Command{Use: "token", Short: "Show causal tokens"}
 	var slices []string
 	show := &cobra.Command{
 		Use:   "show TOKEN",
-		Short: "Print the place in the log of each slice that a token names",
+		Short: "Print the log position of each slice that a token names",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			t, err := token.Parse(args[0])
@@ -204,7 +204,7 @@
 			return nil
 		},
 	}
-	show.Flags().StringSliceVar(&slices, "slice", nil, "names of slices, to show them in place of their numbers")
+	show.Flags().StringSliceVar(&slices, "slice", nil, "names of slices, shown instead of their numbers")
 	cmd.AddCommand(show)
 	return cmd
 }
--- a/cmd/umberladder/recording.go
+++ b/cmd/umberladder/recording.go
@@ -12,14 +12,14 @@
 	"umberladder/lab/report"
 )
 
-// recordingCommand answers questions of a recording.
-func recordingCommand() *cobra.Command {
+// recordQueryCommand returns "lab query", which prints totals of a recording.
+func recordQueryCommand() *cobra.Command {
 	var q record.Query
 	var where []string
 	var attempts bool
 	cmd := &cobra.Command{
 		Use:   "query DIR",
-		Short: "Tell what was recorded by lab run --record, by class, node, time, trouble and more",
+		Short: "Print totals of a recording of lab run --record, grouped by class, node, time, trouble and more",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			r, err := record.Open(args[0])
@@ -54,19 +54,19 @@
 		},
 	}
 	f := cmd.Flags()
-	f.StringSliceVar(&q.By, "by", []string{"arm", "class"}, "what rows are told apart by: "+fmt.Sprint(record.Fields()))
-	f.StringArrayVar(&where, "where", nil, "only rows whose FIELD=VALUE,… or FIELD!=VALUE,…; may be given more than once")
-	f.DurationVar(&q.Window, "window", time.Second, "of --by window")
-	f.IntVar(&q.Limit, "limit", 50, "lines at the most, those with the most rows; 0 for all")
-	f.BoolVar(&attempts, "attempts", false, "rows of attempts at nodes in place of requests")
+	f.StringSliceVar(&q.By, "by", []string{"arm", "class"}, "fields to group rows by: "+fmt.Sprint(record.Fields()))
+	f.StringArrayVar(&where, "where", nil, "only rows with FIELD=VALUE,… or FIELD!=VALUE,…; may be given more than once")
+	f.DurationVar(&q.Window, "window", time.Second, "length of a window of --by window")
+	f.IntVar(&q.Limit, "limit", 50, "maximum number of lines, those with the most rows; 0 for all")
+	f.BoolVar(&attempts, "attempts", false, "rows of attempts instead of requests")
 	return cmd
 }
 
-// reportCommand makes a page of a recording.
+// reportCommand returns "lab report", which writes a recording as an HTML page.
 func reportCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "report DIR FILE.html",
-		Short: "Make one self-contained page of a recording",
+		Short: "Write a recording as one self-contained HTML page",
 		Args:  cobra.ExactArgs(2),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			r, err := record.Open(args[0])
--- a/cmd/umberladder/serve.go
+++ b/cmd/umberladder/serve.go
@@ -21,7 +21,7 @@
 func serveCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "serve CONFIG",
-		Short: "Run a driver until SIGTERM; SIGHUP reads the nodes of CONFIG and the token keys again",
+		Short: "Run a driver until SIGTERM; SIGHUP reloads the nodes of CONFIG and the token keys",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			s, err := settings.Read(args[0])
@@ -36,52 +36,52 @@
 			var seed [8]byte
 			rand.Read(seed[:])
 			if s.Memory > 0 {
-				debug.SetMemoryLimit(int64(s.Memory) / 8 * 7) // the rest is the program itself, and what the limit is overshot by
+				debug.SetMemoryLimit(int64(s.Memory) / 8 * 7) // the other eighth covers the program itself and overshoot of the limit
 			}
 			srv, err := server.New(s, log, binary.BigEndian.Uint64(seed[:]))
 			if err != nil {
 				return err
 			}
-			onHangup(cmd.Context(), func() { reload(args[0], srv, log) })
+			onSIGHUP(cmd.Context(), func() { reload(args[0], srv, log) })
 			return srv.Run(cmd.Context())
 		},
 	}
 }
 
-// onHangup has f called at each SIGHUP from now on, one call at a time, until ctx ends. One that comes later does nothing: it
-// must not end a process that is still serving what it took.
-func onHangup(ctx context.Context, f func()) {
-	hup := make(chan os.Signal, 1)
-	signal.Notify(hup, syscall.SIGHUP)
+// onSIGHUP calls f at each SIGHUP, one call at a time, until ctx ends. Later SIGHUPs are ignored and don't end the process,
+// which may still be serving accepted requests.
+func onSIGHUP(ctx context.Context, f func()) {
+	signals := make(chan os.Signal, 1)
+	signal.Notify(signals, syscall.SIGHUP)
 	go func() {
 		for {
 			select {
 			case <-ctx.Done():
 				return
-			case <-hup:
+			case <-signals:
 				f()
 			}
 		}
 	}()
 }
 
-// reload takes the nodes of a changed file. A file with a mistake changes nothing.
+// reload applies the nodes of the settings file at path and the token keys. A file with an error changes nothing.
 func reload(path string, srv *server.Server, log *zap.Logger) {
 	s, err := settings.Read(path)
 	if err != nil {
-		log.Error("settings are not taken, the old ones stay: " + err.Error())
+		log.Error("settings rejected, the previous ones stay in force: " + err.Error())
 		return
 	}
 	if err := srv.ReloadKeys(); err != nil {
-		log.Error("token keys are not taken, the old ones stay: " + err.Error())
+		log.Error("token keys rejected, the previous ones stay in force: " + err.Error())
 	}
 	if len(s.Inventory) == 0 {
 		srv.SetNodes(s.Nodes)
-		log.Info("nodes read again", zap.Int("nodes", len(s.Nodes)))
+		log.Info("nodes reloaded", zap.Int("nodes", len(s.Nodes)))
 	}
 }
 
-// newLog writes to standard error. The same line comes again only after the settings' time.
+// newLog returns a log that writes to standard error. Repeats of a message within s.LogRepeat are dropped.
 func newLog(s *settings.Settings) (*zap.Logger, error) {
 	level, err := zapcore.ParseLevel(s.LogLevel)
 	if err != nil {
@@ -91,15 +91,15 @@
 	if s.LogFormat == "json" {
 		encoder = zapcore.NewJSONEncoder
 	}
-	core := logCore(encoder, level)
+	core := newLogCore(encoder, level)
 	if s.LogRepeat > 0 {
 		core = zapcore.NewSamplerWithOptions(core, s.LogRepeat, 1, 0)
 	}
 	return zap.New(core), nil
 }
 
-// logCore writes lines of a level or above to standard error, with times that people read.
-func logCore(encoder func(zapcore.EncoderConfig) zapcore.Encoder, level zapcore.Level) zapcore.Core {
+// newLogCore returns a core that writes messages of a level or above to standard error, with ISO 8601 times.
+func newLogCore(encoder func(zapcore.EncoderConfig) zapcore.Encoder, level zapcore.Level) zapcore.Core {
 	enc := zap.NewProductionEncoderConfig()
 	enc.EncodeTime = zapcore.ISO8601TimeEncoder
 	return zapcore.NewCore(encoder(enc), zapcore.Lock(os.Stderr), level)
@@ -108,13 +108,13 @@
 func checkCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "check CONFIG",
-		Short: "Tell every mistake in a settings file; exit 1 if there is one",
+		Short: "Print every error in a settings file; exit 1 if there is one",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			s, err := settings.Read(args[0])
 			if settings.IsProblems(err) {
 				fmt.Fprintln(cmd.ErrOrStderr(), err)
-				return errQuiet
+				return errReported
 			}
 			if err != nil {
 				return err
@@ -126,10 +126,10 @@
 }
 
 func configCommand() *cobra.Command {
-	cmd := &cobra.Command{Use: "config", Short: "Look at settings"}
+	cmd := &cobra.Command{Use: "config", Short: "Show settings"}
 	cmd.AddCommand(&cobra.Command{
 		Use:   "show [CONFIG]",
-		Short: "Print the effective settings, defaults marked; without a file the defaults",
+		Short: "Print the effective settings with defaults marked, or the defaults if no file is given",
 		Args:  cobra.MaximumNArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			s := settings.Defaults()
--- a/cmd/umberladder/sim.go
+++ b/cmd/umberladder/sim.go
@@ -10,7 +10,7 @@
 	"umberladder/lab/world"
 )
 
-// simCommand plays a fleet in simulated time. It is the beginning of the laboratory at large size.
+// simCommand returns "lab sim", which runs a fleet of drivers in simulated time.
 func simCommand() *cobra.Command {
 	var drivers, slices, members, crashes int
 	var rate float64
@@ -18,19 +18,19 @@
 	var seed uint64
 	var keep string
 	var judge, late bool
-	keeps := map[string]world.Keep{"all": world.KeepAll, "lower": world.KeepLower, "writes": world.KeepWrites}
+	keepModes := map[string]world.Keep{"all": world.KeepAll, "lower": world.KeepLower, "writes": world.KeepWrites}
 	cmd := &cobra.Command{
 		Use:   "sim",
-		Short: "Drivers' engines before modelled nodes in simulated time; figures are the model's",
+		Short: "Run drivers' engines against modelled nodes in simulated time; figures are the model's",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			cfg := world.Newsroom(drivers, slices, members, rate, length)
 			cfg.Seed, cfg.Crashes, cfg.Judge, cfg.Late = seed, crashes, judge, late
 			var known bool
-			if cfg.Keep, known = keeps[keep]; !known {
-				return fmt.Errorf("--keep %q is not known; there are all, lower, writes", keep)
+			if cfg.Keep, known = keepModes[keep]; !known {
+				return fmt.Errorf("--keep %q is unknown; want all, lower or writes", keep)
 			}
-			defer debug.SetGCPercent(debug.SetGCPercent(400)) // memory is there, and most of it is young
+			defer debug.SetGCPercent(debug.SetGCPercent(400)) // trades memory for fewer collections; most objects are short-lived
 			begin := time.Now()
 			r, err := world.Run(cfg)
 			if err != nil {
@@ -52,7 +52,7 @@
 			}
 			fmt.Fprintf(w, "rules broken: %d\n", broken)
 			if broken > 0 {
-				return errQuiet
+				return errReported
 			}
 			return nil
 		},
@@ -61,12 +61,12 @@
 	f.IntVar(&drivers, "drivers", 5, "drivers")
 	f.IntVar(&slices, "slices", 10, "slices")
 	f.IntVar(&members, "members", 6, "nodes of a slice")
-	f.Float64Var(&rate, "rate", 500, "requests a second of all clients")
+	f.Float64Var(&rate, "rate", 500, "requests per second of all clients")
 	f.DurationVar(&length, "length", 10*time.Second, "simulated time")
-	f.IntVar(&crashes, "crashes", 2, "primaries that die")
-	f.StringVar(&keep, "keep", "all", "which tokens sessions keep: all, writes, lower (of reads the place from before them, a fault)")
-	f.BoolVar(&judge, "judge", true, "judge what sessions saw, value by value")
-	f.BoolVar(&late, "late", false, "half of the reads look at their data as they end")
-	f.Uint64Var(&seed, "seed", 1, "settles all that is drawn")
+	f.IntVar(&crashes, "crashes", 2, "primaries that crash")
+	f.StringVar(&keep, "keep", "all", "which tokens sessions keep: all, writes, lower (of reads the log position before them, a fault)")
+	f.BoolVar(&judge, "judge", true, "check every value that sessions read")
+	f.BoolVar(&late, "late", false, "half of the reads read their data as they end, not as they start")
+	f.Uint64Var(&seed, "seed", 1, "seed of the random choices")
 	return cmd
 }
--- a/cmd/umberladder/soak.go
+++ b/cmd/umberladder/soak.go
@@ -9,14 +9,14 @@
 	"umberladder/lab/soak"
 )
 
-// soakCommand plays the driver's own process to its end, seed by seed.
+// soakCommand returns "lab soak", which runs the driver's process from start to shutdown, once per seed.
 func soakCommand() *cobra.Command {
 	var seed uint64
 	var seeds string
 	s := &soak.Series{}
 	cmd := &cobra.Command{
 		Use:   "soak",
-		Short: "The driver of the shared platform as a process, told to end under clients and trouble, judged at the sockets",
+		Short: "Run the shared platform's driver as a process, shut it down under load and faults, and check its traffic",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			first, last := seed, seed
@@ -34,16 +34,16 @@
 			err = s.Play(cmd.Context(), first, last)
 			s.Write(cmd.OutOrStdout())
 			if err == nil && s.Broken() > 0 {
-				return errQuiet
+				return errReported
 			}
 			return err
 		},
 	}
 	flags := cmd.Flags()
-	flags.Uint64Var(&seed, "seed", 1, "settles all that is drawn")
-	flags.StringVar(&seeds, "seeds", "", "plays all seeds of a range, A-B, in place of one")
-	flags.DurationVar(&s.For, "for", 0, "begins no further seed after this time")
-	flags.StringVar(&s.Keep, "keep", "", "folder that gets each seed's configuration, log and trace")
-	flags.IntVar(&s.Procs, "procs", 1, "seeds played side by side")
+	flags.Uint64Var(&seed, "seed", 1, "seed of the random choices")
+	flags.StringVar(&seeds, "seeds", "", "range of seeds to run, A-B, instead of one")
+	flags.DurationVar(&s.For, "for", 0, "start no further seed after this time; 0 for no bound")
+	flags.StringVar(&s.Keep, "keep", "", "directory for each seed's configuration, log and trace")
+	flags.IntVar(&s.Procs, "procs", 1, "seeds to run at once")
 	return cmd
 }
--- a/cmd/umberladder/topology.go
+++ b/cmd/umberladder/topology.go
@@ -17,28 +17,28 @@
 	"umberladder/server"
 )
 
-// topologyCommand tells who a driver has for the primaries, by what evidence, and takes an operator's word.
+// topologyCommand returns "topology", which shows what a driver knows of primaries and fences nodes.
 func topologyCommand() *cobra.Command {
-	cmd := &cobra.Command{Use: "topology", Short: "Tell whom a driver has for primaries and by what evidence; fence nodes"}
-	cmd.AddCommand(topologyTell("show", "Tell each slice's term, primary and what its nodes said last", showTopology))
-	cmd.AddCommand(topologyTell("history", "Tell the changes of each slice, with the claim that brought them", showTopologyHistory))
-	cmd.AddCommand(topologyAct("fence", "NODE", "Have a node never be primary, whatever it claims; kept over restarts with `state dir`"))
-	cmd.AddCommand(topologyAct("unfence", "NODE", "Lift a fence"))
-	cmd.AddCommand(topologyAct("forget", "SLICE", "Drop all that is known of a slice, its terms too, after it was restored to an older timeline by hand"))
+	cmd := &cobra.Command{Use: "topology", Short: "Show a driver's primaries and the evidence for them; fence nodes"}
+	cmd.AddCommand(topologyShowCommand("show", "Print each slice's term, its primary and the last report of each node", printTopology))
+	cmd.AddCommand(topologyShowCommand("history", "Print the changes of each slice, with the claim that caused them", printTopologyHistory))
+	cmd.AddCommand(topologyPostCommand("fence", "NODE", "Never take a node for the primary, whatever it claims; survives restarts with `state dir`"))
+	cmd.AddCommand(topologyPostCommand("unfence", "NODE", "Lift a fence"))
+	cmd.AddCommand(topologyPostCommand("forget", "SLICE", "Drop all knowledge of a slice, including its terms, after a manual restore to an older timeline"))
 	return cmd
 }
 
-func topologyTell(name, short string, show func(w io.Writer, s *server.TopologySlice)) *cobra.Command {
+func topologyShowCommand(name, short string, show func(w io.Writer, s *server.TopologySlice)) *cobra.Command {
 	cmd := &cobra.Command{Use: name, Short: short, Args: cobra.NoArgs}
-	socket := controlFlags(cmd)
-	asJSON := cmd.Flags().Bool("json", false, "as the driver tells it")
-	only := cmd.Flags().StringSlice("slice", nil, "of these slices alone")
+	socket := controlSocketFlags(cmd)
+	asJSON := cmd.Flags().Bool("json", false, "print the driver's answer as JSON")
+	only := cmd.Flags().StringSlice("slice", nil, "only these slices")
 	cmd.RunE = func(cmd *cobra.Command, _ []string) error {
 		path, err := socket()
 		if err != nil {
 			return err
 		}
-		t, err := askTopology(cmd, path, http.MethodGet, "/topology")
+		t, err := requestTopology(cmd, path, http.MethodGet, "/topology")
 		if err != nil {
 			return err
 		}
@@ -57,21 +57,21 @@
 	return cmd
 }
 
-func topologyAct(name, of, short string) *cobra.Command {
+func topologyPostCommand(name, of, short string) *cobra.Command {
 	cmd := &cobra.Command{Use: name + " " + of, Short: short, Args: cobra.ExactArgs(1)}
-	socket := controlFlags(cmd)
+	socket := controlSocketFlags(cmd)
 	cmd.RunE = func(cmd *cobra.Command, args []string) error {
 		path, err := socket()
 		if err != nil {
 			return err
 		}
-		t, err := askTopology(cmd, path, http.MethodPost, "/topology/"+name+"/"+url.PathEscape(args[0]))
+		t, err := requestTopology(cmd, path, http.MethodPost, "/topology/"+name+"/"+url.PathEscape(args[0]))
 		if err != nil {
 			return err
 		}
 		for i := range t.Slices {
 			if s := &t.Slices[i]; s.Name == args[0] || slices.ContainsFunc(s.Nodes, func(n server.TopologyNode) bool { return n.Name == args[0] }) {
-				showTopology(cmd.OutOrStdout(), s)
+				printTopology(cmd.OutOrStdout(), s)
 			}
 		}
 		return nil
@@ -79,8 +79,8 @@
 	return cmd
 }
 
-func askTopology(cmd *cobra.Command, socket, method, path string) (*server.Topology, error) {
-	text, err := askControl(cmd.Context(), socket, method, path)
+func requestTopology(cmd *cobra.Command, socket, method, path string) (*server.Topology, error) {
+	text, err := requestControl(cmd.Context(), socket, method, path)
 	if err != nil {
 		return nil, err
 	}
@@ -88,7 +88,7 @@
 	return &t, json.Unmarshal(text, &t)
 }
 
-func showTopology(out io.Writer, s *server.TopologySlice) {
+func printTopology(out io.Writer, s *server.TopologySlice) {
 	primary := s.Primary
 	if primary == "" {
 		primary = "nobody"
@@ -108,16 +108,16 @@
 		if follows == "" {
 			follows = "-"
 		}
-		heard := "-"
+		lastReport := "-"
 		if n.Timeline > 0 {
-			heard = fmt.Sprintf("%v ago by %s", time.Duration(n.Age*float64(time.Second)).Round(time.Millisecond), n.By)
+			lastReport = fmt.Sprintf("%v ago by %s", time.Duration(n.Age*float64(time.Second)).Round(time.Millisecond), n.By)
 		}
-		fmt.Fprintf(w, "  %s\t%s\t%s\t%v\t%s\t%s\n", n.Name, standing, n.Said, position.Position{Timeline: n.Timeline, LSN: n.LSN}, follows, heard)
+		fmt.Fprintf(w, "  %s\t%s\t%s\t%v\t%s\t%s\n", n.Name, standing, n.Said, position.Position{Timeline: n.Timeline, LSN: n.LSN}, follows, lastReport)
 	}
 	w.Flush()
 }
 
-func showTopologyHistory(out io.Writer, s *server.TopologySlice) {
+func printTopologyHistory(out io.Writer, s *server.TopologySlice) {
 	fmt.Fprintf(out, "slice %s\n", s.Name)
 	for _, h := range s.History {
 		fmt.Fprintf(out, "  #%d %s %s", h.Number, h.At.Format("2006-01-02 15:04:05.000"), h.What)
