--- a/cmd/citest/list.go
+++ b/cmd/citest/list.go
@@ -7,7 +7,7 @@
 	"strings"
 )
 
-// testName is a test of a package, with its subtests separated by slashes.
+// testName identifies a test or a subtest; the names of subtests are separated by slashes.
 type testName struct {
 	Package string
 	Test    string
@@ -15,10 +15,10 @@
 
 func (n testName) String() string { return n.Package + " " + n.Test }
 
-// knownFailure is one fault that the repository still has.
+// knownFailure is one entry of the list: a fault that is not fixed yet.
 type knownFailure struct {
-	Tests   []testName // that fail because of it; none if it shows in no Go test
-	Command string     // that plays it, with its seed
+	Tests   []testName // tests that fail because of the fault; none if no Go test shows it
+	Command string     // command that reproduces the fault, with its seed
 	Seen    string
 	Issue   string
 }
@@ -57,7 +57,7 @@
 	return all, nil
 }
 
-// set takes one line of an entry.
+// set parses one line of an entry.
 func (k *knownFailure) set(line string) error {
 	key, value, found := strings.Cut(line, ":")
 	value = strings.TrimSpace(value)
@@ -90,7 +90,7 @@
 	return nil
 }
 
-// check tells what an entry lacks.
+// check returns an error if a required line is missing.
 func (k *knownFailure) check() error {
 	for _, field := range []struct{ key, value string }{{"command", k.Command}, {"seen", k.Seen}, {"issue", k.Issue}} {
 		if field.value == "" {
--- a/cmd/citest/main.go
+++ b/cmd/citest/main.go
@@ -1,5 +1,6 @@
-// Command citest runs "go test" and passes over the failures of just those tests that a list of known failures names.
-// Every other failure, a panic, a data race, a build that fails and a list that can't be read make it end with 1.
+// Command citest takes arguments of "go test" and a list of known failures, and runs the tests. It prints their output and
+// exits with status 1 on any failure that the list does not name, and on a panic, a data race, a failed build or a list that
+// can't be read. CI calls it.
 //
 //	citest [-list FILE] [arguments of go test]
 package main
@@ -16,18 +17,18 @@
 func main() {
 	list := flag.String("list", "KNOWN-RED.txt", "file with the known failures")
 	flag.Parse()
-	green, err := run(*list, "", flag.Args(), os.Stdout)
+	ok, err := run(*list, "", flag.Args(), os.Stdout)
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "citest:", err)
 	}
-	if err != nil || !green {
+	if err != nil || !ok {
 		os.Exit(1)
 	}
 }
 
-// run runs go test in a directory and tells whether all went well but for known failures. A list that does not exist
-// is empty.
-func run(list, dir string, args []string, out io.Writer) (green bool, err error) {
+// run runs go test in a directory and reports whether everything passed except for known failures. A missing list counts as
+// empty.
+func run(list, dir string, args []string, out io.Writer) (ok bool, err error) {
 	known, err := readList(list)
 	if err != nil {
 		return false, fmt.Errorf("%s: %w", list, err)
@@ -44,17 +45,17 @@
 	if err := cmd.Start(); err != nil {
 		return false, err
 	}
-	j := newJudge(known)
-	if err := j.follow(events, out); err != nil {
+	eval := newEvaluator(known)
+	if err := eval.readEvents(events, out); err != nil {
 		return false, errors.Join(err, cmd.Wait())
 	}
 	if err := cmd.Wait(); err == nil {
-		return j.judgeList(out), nil
+		return eval.checkList(out), nil
 	}
-	if len(j.packages) == 0 && len(j.builds) == 0 {
+	if len(eval.packages) == 0 && len(eval.builds) == 0 {
 		return false, errors.New("go test failed before it ran anything")
 	}
-	return j.verdict(out), nil
+	return eval.verdict(out), nil
 }
 
 func readList(path string) ([]knownFailure, error) {
