--- a/cmd/mutants/main.go
+++ b/cmd/mutants/main.go
@@ -1,6 +1,6 @@
-// Mutants plants faults in the code, one at a time, in an overlay of the build, and looks whether the explorer, or the
-// soak of the driver's process, finds them. The faults stand in explore/testdata/mutants.txt and
-// lab/soak/testdata/mutants.txt, not in the code.
+// Command mutants is a mutation test: it takes the faults listed in explore/testdata/mutants.txt or
+// lab/soak/testdata/mutants.txt and builds the program with each of them through a build overlay. It prints for each fault
+// whether the model checker, or the soak of the driver's process, found it. Developers run it by hand.
 //
 //	go run ./cmd/mutants [-soak SEEDS] [-only NAME] [-procs N]
 package main
@@ -27,12 +27,12 @@
 	"umberladder/lab/soak"
 )
 
-// mutant is a change of one file.
+// mutant is a fault: the replacement of a text in one file.
 type mutant struct{ name, file, old, new string }
 
-// read reads the list. Each begins with "### NAME" and "file: PATH"; then come the old text and the new one between
-// "<<<<", "====" and ">>>>".
-func read(path string) ([]mutant, error) {
+// readMutants reads a list of mutants. Each one begins with "### NAME" and "file: PATH"; the old text follows between "<<<<"
+// and "====", the new one between "====" and ">>>>".
+func readMutants(path string) ([]mutant, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return nil, err
@@ -41,31 +41,31 @@
 	for i, part := range strings.Split("\n"+string(text), "\n### ")[1:] {
 		head, rest, ok1 := strings.Cut(part, "\n<<<<\n")
 		old, rest, ok2 := strings.Cut(rest, "\n====\n")
-		now, _, ok3 := strings.Cut(rest, "\n>>>>")
+		replacement, _, ok3 := strings.Cut(rest, "\n>>>>")
 		name, file, ok4 := strings.Cut(head, "\nfile: ")
 		if !ok1 || !ok2 || !ok3 || !ok4 {
-			return nil, fmt.Errorf("%s: mutant %d is not in the form that this file has", path, i+1)
+			return nil, fmt.Errorf("%s: mutant %d is malformed", path, i+1)
 		}
-		all = append(all, mutant{strings.TrimSpace(name), strings.TrimSpace(file), old, now})
+		all = append(all, mutant{strings.TrimSpace(name), strings.TrimSpace(file), old, replacement})
 	}
 	return all, nil
 }
 
-// build makes the program with the fault in it.
+// build builds cmd/umberladder with the fault into dir and returns the program's path.
 func (m *mutant) build(ctx context.Context, dir string) (string, error) {
 	text, err := os.ReadFile(m.file)
 	if err != nil {
 		return "", err
 	}
 	if n := strings.Count(string(text), m.old); n != 1 {
-		return "", fmt.Errorf("%s has the old text %d times", m.file, n)
+		return "", fmt.Errorf("%s contains the old text %d times, want 1", m.file, n)
 	}
 	changed, overlay, program := filepath.Join(dir, "changed.go"), filepath.Join(dir, "overlay.json"), filepath.Join(dir, "umberladder")
-	whole, err := filepath.Abs(m.file)
+	absolute, err := filepath.Abs(m.file)
 	if err != nil {
 		return "", err
 	}
-	list, _ := json.Marshal(map[string]map[string]string{"Replace": {whole: changed}})
+	list, _ := json.Marshal(map[string]map[string]string{"Replace": {absolute: changed}})
 	if err := errors.Join(os.WriteFile(changed, []byte(strings.Replace(string(text), m.old, m.new, 1)), 0o600), os.WriteFile(overlay, list, 0o600)); err != nil {
 		return "", err
 	}
@@ -75,8 +75,9 @@
 	return program, nil
 }
 
-// found tells by what a program's fault is found, "" if it is not.
-func found(ctx context.Context, program string) (string, error) {
+// findByExplorer runs the model checker of a program and returns the run and the property that found a fault, or "" if none
+// was found.
+func findByExplorer(ctx context.Context, program string) (string, error) {
 	for _, args := range [][]string{
 		{"explore", "run", "--depth", "4", "--endings", "2", "--procs", "1"},
 		{"explore", "walk", "--walks", "300", "--seed", "1", "--procs", "1", "--clients", "4", "--nodes", "4", "--depth", "60", "--resets", "3"},
@@ -102,8 +103,8 @@
 	return "", ctx.Err()
 }
 
-// foundBySoak tells by which seeds and rules of the soak a program's fault is found, "" if it is not.
-func foundBySoak(ctx context.Context, program string, first, last uint64) (string, error) {
+// findBySoak runs the soak with a program and returns the seeds and rules that found a fault, or "" if none was found.
+func findBySoak(ctx context.Context, program string, first, last uint64) (string, error) {
 	s := &soak.Series{Program: program, Procs: 2, Out: io.Discard}
 	if err := s.Play(ctx, first, last); err != nil {
 		return "", err
@@ -131,15 +132,15 @@
 	return "seeds " + strings.Join(seeds, " ") + ": " + strings.Join(counts, ", "), nil
 }
 
-// unbuilt begins what is told of a mutant that is none.
-const unbuilt = "it can't be built: "
+// notBuilt is the prefix of the result of a mutant that could not be built.
+const notBuilt = "it can't be built: "
 
 func run() error {
-	only := flag.String("only", "", "the mutant to try")
-	procs := flag.Int("procs", 2, "mutants at once")
-	seeds := flag.String("soak", "", "seeds of the soak, A-B, that plays the driver's process in place of the explorer")
+	onlyName := flag.String("only", "", "name of the only mutant to try")
+	procs := flag.Int("procs", 2, "mutants tried at once")
+	seeds := flag.String("soak", "", "range of seeds, A-B, of the soak to run instead of the model checker")
 	flag.Parse()
-	list, find := "explore/testdata/mutants.txt", found
+	list, find := "explore/testdata/mutants.txt", findByExplorer
 	if *seeds != "" {
 		first, last, err := soak.ParseSeeds(*seeds)
 		if err != nil {
@@ -147,18 +148,18 @@
 		}
 		list = "lab/soak/testdata/mutants.txt"
 		find = func(ctx context.Context, program string) (string, error) {
-			return foundBySoak(ctx, program, first, last)
+			return findBySoak(ctx, program, first, last)
 		}
 	}
-	all, err := read(list)
+	all, err := readMutants(list)
 	if err != nil {
 		return err
 	}
 	g, ctx := errgroup.WithContext(context.Background())
 	g.SetLimit(*procs)
-	by := make([]string, len(all))
+	foundBy := make([]string, len(all))
 	for i, m := range all {
-		if *only != "" && *only != m.name {
+		if *onlyName != "" && *onlyName != m.name {
 			continue
 		}
 		g.Go(func() error {
@@ -169,35 +170,35 @@
 			defer os.RemoveAll(dir)
 			program, err := m.build(ctx, dir)
 			if err != nil {
-				by[i] = unbuilt + err.Error()
+				foundBy[i] = notBuilt + err.Error()
 				fmt.Fprintf(os.Stderr, "%s: %v\n", m.name, err)
 				return nil
 			}
-			by[i], err = find(ctx, program)
-			fmt.Fprintf(os.Stderr, "%s: %s\n", m.name, cmp.Or(by[i], "lives"))
+			foundBy[i], err = find(ctx, program)
+			fmt.Fprintf(os.Stderr, "%s: %s\n", m.name, cmp.Or(foundBy[i], "lives"))
 			return err
 		})
 	}
 	if err := g.Wait(); err != nil {
 		return err
 	}
-	killed, tried := 0, 0
+	found, tried := 0, 0
 	for i, m := range all {
-		if *only != "" && *only != m.name {
+		if *onlyName != "" && *onlyName != m.name {
 			continue
 		}
-		if strings.HasPrefix(by[i], unbuilt) {
-			fmt.Printf("NONE   %s: %s\n", m.name, by[i])
+		if strings.HasPrefix(foundBy[i], notBuilt) {
+			fmt.Printf("NONE   %s: %s\n", m.name, foundBy[i])
 			continue
 		}
-		if tried++; by[i] == "" {
+		if tried++; foundBy[i] == "" {
 			fmt.Printf("LIVES  %s (%s)\n", m.name, m.file)
 			continue
 		}
-		killed++
-		fmt.Printf("found  %s, by %s\n", m.name, by[i])
+		found++
+		fmt.Printf("found  %s, by %s\n", m.name, foundBy[i])
 	}
-	fmt.Printf("%d of %d mutants were found\n", killed, tried)
+	fmt.Printf("%d of %d mutants were found\n", found, tried)
 	return nil
 }
 
