--- a/cmd/umberladder/experiment.go
+++ b/cmd/umberladder/experiment.go
@@ -193,7 +193,7 @@
 			if err != nil {
 				return err
 			}
-			fmt.Fprintf(w, "%d of %d runs were there; the best first\n", held, len(x.Arms)*x.Repeats)
+			fmt.Fprintf(w, "%d of %d runs were already recorded; the best first\n", held, len(x.Arms)*x.Repeats)
 			if x.Write(w, experiment.Simulated, experiment.Best(all)) > 0 {
 				return errReported
 			}
--- a/cmd/umberladder/inventory.go
+++ b/cmd/umberladder/inventory.go
@@ -264,14 +264,14 @@
 	w := cmd.OutOrStdout()
 	fmt.Fprintf(w, "%d nodes in force, from %s, taken %s\n", st.Members, strings.Join(st.Files, " "), st.Taken.Format(time.RFC3339))
 	if st.Bad != "" {
-		fmt.Fprintf(w, "the files are bad since %s:\n%s\n", st.BadSince.Format(time.RFC3339), st.Bad)
+		fmt.Fprintf(w, "the files are invalid since %s:\n%s\n", st.BadSince.Format(time.RFC3339), st.Bad)
 	}
 	lacked := slices.ContainsFunc(st.Held, func(h membership.Held) bool { return h.Lacked })
 	for _, h := range st.Held {
 		fmt.Fprintf(w, "held back: %s of %s: %s\n", h.Node, h.Slice, h.Why)
 	}
 	for _, s := range st.Shared {
-		fmt.Fprintf(w, "one address: %s is where %s is; list it once\n", s.Node, s.With)
+		fmt.Fprintf(w, "one address: %s has the address of %s; list it once\n", s.Node, s.With)
 	}
 	for _, u := range st.Unreachable {
 		fmt.Fprintf(w, "unreachable: %s of %s at %s since %s: %s\n", u.Node, u.Slice, u.Address, u.Since.Format(time.RFC3339), u.Why)
@@ -280,7 +280,7 @@
 		fmt.Fprintf(w, "not listed: %s (%s) follows %s of %s\n", u.Address, u.Name, u.Follows, u.Slice)
 	}
 	if lacked {
-		fmt.Fprintln(w, "umberladder inventory apply --confirm takes it as meant")
+		fmt.Fprintln(w, "to confirm missing nodes as removed: umberladder inventory apply --confirm")
 	}
 	return nil
 }
