--- a/admission/admission.go
+++ b/admission/admission.go
@@ -56,7 +56,7 @@
 func ClassesOf(classes []balance.Class) []Class {
 	out := make([]Class, len(classes))
 	for i, c := range classes {
-		out[i] = Class{Name: c.Name, Value: c.Worth, Target: c.Target, Primary: c.Need <= balance.NeedFresh}
+		out[i] = Class{Name: c.Name, Value: c.Value, Target: c.Target, Primary: c.Need <= balance.NeedFresh}
 	}
 	return out
 }
--- a/balance/api.go
+++ b/balance/api.go
@@ -43,14 +43,14 @@
 	NeedAny                 // data of any age
 )
 
-// Behind is what a replica does with a read for which it lags too far behind.
-type Behind uint8
+// LagPolicy is what a replica does with a read for which it lags too far behind.
+type LagPolicy uint8
 
 // What a lagging replica can do with a read.
 const (
-	BehindServe  Behind = iota // it answers with the data that it has
-	BehindReject               // it ends the attempt with OutcomeMiss at once
-	BehindWait                 // it waits up to Config.CatchUpWait for replication, then ends with OutcomeMiss
+	LagServe  LagPolicy = iota // it answers with the data that it has
+	LagReject                  // it ends the attempt with OutcomeMiss at once
+	LagWait                    // it waits up to Config.CatchUpWait for replication, then ends with OutcomeMiss
 )
 
 // Class is one class of requests. New requires 0 < Target <= Deadline.
@@ -63,43 +63,43 @@
 	Deadline  time.Duration // how long a client waits, over all attempts
 	Window    time.Duration // how long repeats of a keyed request are discarded
 	Bound     time.Duration // greatest age of the data for NeedBounded
-	Worth     float64       // value of an answer within Target, relative to other classes
-	LateWorth float64       // share of Worth, 0 to 1, that an answer after Target earns
+	Value     float64       // value of an answer within Target, relative to other classes
+	LateValue float64       // share of Value, 0 to 1, that an answer after Target earns
 }
 
 // Config is the configuration of a router. It does not change after New.
 type Config struct {
-	Classes       []Class
-	Zone          int           // the router's own availability zone
-	Routers       int           // number of routers in front of the same servers, 0 if unknown
-	Round         time.Duration // least time between two batches of events, at least 1 ms
-	Origin        time.Duration // clock time of position 0
-	Positions     bool          // answers carry log positions
-	Behind        Behind        // what replicas do with reads for which they lag too far behind
-	CatchUpWait   time.Duration // how long a replica waits with BehindWait
-	RouterTokens  bool          // a session's writes are tracked by this router's answers, not by Event.SinceWrite
-	AskList       bool          // the server list is delivered only after ActionSubscribe
-	AskWithin     time.Duration // with AskList: a router without a subscription for so long counts as notified of changes
-	DrainGrace    time.Duration // how long after a drain was listed requests may still be sent; 0 for not at all
-	SoftRemoval   bool          // only servers listed as draining are taken out of use, not those missing from a list
-	AnswerSlack   time.Duration // how long after the deadline a final answer is still accepted
-	ColdFrom      float64       // least share of its capacity, 0 to 1, that a server has at its start (slow start)
-	RampTime      time.Duration // time from its start until a server is warm; 0 if servers start warm
-	TipMultiple   float64       // a cold server fails if sent more than this multiple of its present capacity
-	Fall          time.Duration // length of the window in which the requests for TipMultiple are counted
-	Cancel        bool          // ActionWithdraw may be used
-	Probing       bool          // ActionPoll may be used; otherwise servers count as available without polls
-	ParallelTries bool          // a request may have two attempts in flight (hedged request)
-	TryLimit      int           // most attempts of a request, the first included; below 1 counts as 1
-	RetryAfter    bool          // ActionReject may carry a delay after which to retry
-	MaxRetryAfter time.Duration // longest such delay that clients follow
-	DialTimeout   time.Duration // limit of the driver's attempts to connect, then OutcomeConnectFailed; for information
-	ListsRole     bool          // list entries show the role, with a delay; for information
+	Classes              []Class
+	Zone                 int           // the router's own availability zone
+	Routers              int           // number of routers in front of the same servers, 0 if unknown
+	MinBatchInterval     time.Duration // least time between two batches of events, at least 1 ms
+	Origin               time.Duration // clock time of position 0
+	Positions            bool          // answers carry log positions
+	LagPolicy            LagPolicy     // what replicas do with reads for which they lag too far behind
+	CatchUpWait          time.Duration // how long a replica waits with LagWait
+	RouterTokens         bool          // a session's writes are tracked by this router's answers, not by Event.SinceWrite
+	SubscribeToList      bool          // the server list is delivered only after ActionSubscribe
+	SubscribeWithin      time.Duration // with SubscribeToList: a router without a subscription for so long counts as notified of changes
+	DrainGrace           time.Duration // how long after a drain was listed requests may still be sent; 0 for not at all
+	SoftRemoval          bool          // only servers listed as draining are taken out of use, not those missing from a list
+	AnswerSlack          time.Duration // how long after the deadline a final answer is still accepted
+	ColdFrom             float64       // least share of its capacity, 0 to 1, that a server has at its start (slow start)
+	RampTime             time.Duration // time from its start until a server is warm; 0 if servers start warm
+	ColdOverloadMultiple float64       // a cold server fails if sent more than this multiple of its present capacity
+	ColdOverloadWindow   time.Duration // length of the window in which the requests for ColdOverloadMultiple are counted
+	Cancel               bool          // ActionWithdraw may be used
+	Probing              bool          // ActionPoll may be used; otherwise servers count as available without polls
+	ParallelAttempts     bool          // a request may have two attempts in flight (hedged request)
+	AttemptLimit         int           // most attempts of a request, the first included; below 1 counts as 1
+	RetryAfter           bool          // ActionReject may carry a delay after which to retry
+	MaxRetryAfter        time.Duration // longest such delay that clients follow
+	DialTimeout          time.Duration // limit of the driver's attempts to connect, then OutcomeConnectFailed; for information
+	ListShowsRole        bool          // list entries show the role, with a delay; for information
 }
 
-// ConnsAreChecked declares that the driver checks each connection right before it sends an attempt on it, so that a missing
+// AssumeCheckedConns declares that the driver checks each connection right before it sends an attempt on it, so that a missing
 // answer is no evidence of a dropped connection. It depends on the driver, not on settings, and must be called before the first Step.
-func (r *Router) ConnsAreChecked() { r.connsChecked = true }
+func (r *Router) AssumeCheckedConns() { r.connsChecked = true }
 
 // Role is the role that a server reports of itself.
 type Role uint8
@@ -123,13 +123,13 @@
 	OutcomeConnectFailed                // no connection could be opened
 	OutcomeReset                        // the connection broke
 	OutcomeCancelled                    // withdrawn
-	OutcomeMoot                         // dropped before it was sent
+	OutcomeUnsent                       // dropped before it was sent
 	OutcomeMiss                         // refused by a server that lags too far behind or is not the primary
 )
 
 // NeverRan reports whether the outcome is evidence that nothing ran, so that sending the request again is harmless.
 func (o Outcome) NeverRan() bool {
-	return o == OutcomeFull || o == OutcomeConnectFailed || o == OutcomeMoot || o == OutcomeMiss
+	return o == OutcomeFull || o == OutcomeConnectFailed || o == OutcomeUnsent || o == OutcomeMiss
 }
 
 // Life is the state of a server in the list.
@@ -139,7 +139,7 @@
 const (
 	LifeReady    Life = iota // in use
 	LifeDraining             // about to be removed; requests may be sent for Config.DrainGrace
-	LifeGone                 // removed
+	LifeRemoved              // removed
 )
 
 // Entry is the state of one server in a list.
@@ -148,7 +148,7 @@
 	Group   int
 	Zone    int // availability zone
 	Life    Life
-	Primary bool          // the listed role with Config.ListsRole
+	Primary bool          // the listed role with Config.ListShowsRole
 	Started time.Duration // clock time of the last start of its process; 0 if unknown or long ago
 }
 
@@ -177,13 +177,13 @@
 
 // The kinds of events, with the fields of Event that each sets.
 const (
-	EventList    EventKind = iota // List, Entries
-	EventRequest                  // Request, Class, Group, Key, Deadline, SinceWrite
-	EventOpened                   // Request: its answer began to stream to the client and cannot be taken back
-	EventOutcome                  // Request, Attempt, Server, Outcome, Age, Settled, Role, Position, Report
-	EventAborted                  // Request: the client closed or cancelled it
-	EventPoll                     // Server, Outcome, Age, Report
-	EventTimer                    // Token
+	EventList      EventKind = iota // List, Entries
+	EventRequest                    // Request, Class, Group, Key, Deadline, SinceWrite
+	EventStreaming                  // Request: its answer began to stream to the client and cannot be taken back
+	EventOutcome                    // Request, Attempt, Server, Outcome, Age, Settled, Role, Position, Report
+	EventAborted                    // Request: the client closed or cancelled it
+	EventPoll                       // Server, Outcome, Age, Report
+	EventTimer                      // Token
 )
 
 // Event is an input of Router.Step. Kind determines which fields are set.
@@ -213,7 +213,7 @@
 
 // The kinds of actions, with the fields of Action that each uses.
 const (
-	ActionTry        ActionKind = iota // send Request to Server; a request's attempts are counted from 0 in order of these actions
+	ActionSend       ActionKind = iota // send Request to Server; a request's attempts are counted from 0 in order of these actions
 	ActionWithdraw                     // cancel Attempt of Request
 	ActionReject                       // final answer: refused, and a retry is harmless, after After
 	ActionFail                         // final answer: failed, and the request may have run
--- a/balance/balance.go
+++ b/balance/balance.go
@@ -53,13 +53,13 @@
 	cfg       Config
 	rng       *rand.Rand
 	now       time.Duration
-	acts      []Action // result of the current Step
+	actions   []Action // result of the current Step
 	servers   map[ServerID]*server
 	groups    map[int]*group
 	order     []*group               // groups in the order in which they were first mentioned
 	open      map[RequestID]*request // unanswered requests, and answered ones with pending attempts
 	polls     timeIndex[*server]     // members without a poll in flight, by the time of their next poll
-	looks     timeIndex[*group]      // groups with waiting requests, by the time of their next sweep
+	sweeps    timeIndex[*group]      // groups with waiting requests, by the time of their next sweep
 	arrivals  uint64                 // requests so far
 	due       []*server              // buffer of sendDuePolls
 	held, all []*request             // buffers of sweep
@@ -85,12 +85,12 @@
 }
 
 type group struct {
-	place   int        // in the order of first mention
-	members []*server  // by ID
-	queue   []*request // open requests in order of arrival
-	look    timeSlot[*group]
-	dirty   bool    // something changed since the group's last sweep
-	primary *server // named by the newest poll or answer; nil if unknown
+	place     int        // in the order of first mention
+	members   []*server  // by ID
+	queue     []*request // open requests in order of arrival
+	sweepSlot timeSlot[*group]
+	dirty     bool    // something changed since the group's last sweep
+	primary   *server // named by the newest poll or answer; nil if unknown
 	// As of when the primary was named; when the newest poll that confirmed it was sent.
 	claimedAt, confirmedAt time.Duration
 	latency                float64 // mean latency of answers, in ns
@@ -186,14 +186,14 @@
 			least = min(least, c.Bound)
 		}
 	}
-	cfg.Round, cfg.TryLimit = max(cfg.Round, time.Millisecond), max(cfg.TryLimit, 1)
-	interval := max(least, 10*cfg.Round)
+	cfg.MinBatchInterval, cfg.AttemptLimit = max(cfg.MinBatchInterval, time.Millisecond), max(cfg.AttemptLimit, 1)
+	interval := max(least, 10*cfg.MinBatchInterval)
 	idle := interval * time.Duration(max(cfg.Routers, pollersPerInterval)) / pollersPerInterval
 	r := &Router{cfg: cfg, rng: rand.New(rand.NewPCG(seed, seed)), servers: map[ServerID]*server{},
 		groups: map[int]*group{}, open: map[RequestID]*request{}, sessions: map[uint64]time.Duration{},
-		pollInterval: interval, idleInterval: idle, sweepInterval: max(cfg.Round, least/25), subscribeAt: math.MaxInt64,
+		pollInterval: interval, idleInterval: idle, sweepInterval: max(cfg.MinBatchInterval, least/25), subscribeAt: math.MaxInt64,
 		turn: math.MaxUint32, retryBudget: retryBurst * float64(interval) / float64(idle), writes: map[uint64]int{}}
-	if cfg.AskList {
+	if cfg.SubscribeToList {
 		r.subscribeAt = math.MinInt64
 	}
 	return r, nil
@@ -202,7 +202,7 @@
 // Step handles a batch of events that all happened at now and returns actions with the resulting ones appended
 // in the order in which they are to be carried out. A now before that of the last call counts as the latter.
 func (r *Router) Step(now time.Duration, events []Event, actions []Action) []Action {
-	r.now, r.acts = max(now, r.now), actions
+	r.now, r.actions = max(now, r.now), actions
 	for i := range events {
 		r.handle(&events[i])
 	}
@@ -210,7 +210,7 @@
 		r.sweep()
 	}
 	r.setTimer(r.sendDuePolls())
-	actions, r.acts = r.acts, nil
+	actions, r.actions = r.actions, nil
 	return actions
 }
 
@@ -220,7 +220,7 @@
 		r.onList(e)
 	case EventRequest:
 		r.onRequest(e)
-	case EventOpened:
+	case EventStreaming:
 		if q := r.open[e.Request]; q != nil {
 			q.streamed = true
 			r.markDirty(q.group)
@@ -241,9 +241,9 @@
 // onList applies a server list. A failed list request is repeated after a random delay, so that many routers do not
 // repeat it at once.
 func (r *Router) onList(e *Event) {
-	if e.List == ListFailed && r.cfg.AskList {
+	if e.List == ListFailed && r.cfg.SubscribeToList {
 		r.log("list out of reach, asking again")
-		r.subscribeAt = r.now + r.jitter(r.cfg.AskWithin/5)
+		r.subscribeAt = r.now + r.jitter(r.cfg.SubscribeWithin/5)
 	}
 	if e.List == ListFailed {
 		return
@@ -267,13 +267,13 @@
 // markDirty makes the next sweep consider the group's requests, as something changed that may decide one.
 func (r *Router) markDirty(g *group) {
 	if g.dirty = true; len(g.queue) > 0 {
-		r.looks.set(&g.look, math.MinInt64)
+		r.sweeps.set(&g.sweepSlot, math.MinInt64)
 	}
 }
 
 // pollAt sets the time of a server's next poll.
 func (r *Router) pollAt(s *server, at time.Duration) {
-	if s.nextPoll = at; !s.polling && s.life != LifeGone {
+	if s.nextPoll = at; !s.polling && s.life != LifeRemoved {
 		r.polls.set(&s.timer, at)
 	}
 }
@@ -286,7 +286,7 @@
 		s = nil
 	}
 	switch {
-	case e.Life == LifeGone || s != nil && s.drained:
+	case e.Life == LifeRemoved || s != nil && s.drained:
 		r.removeServer(s)
 		return
 	case s == nil:
@@ -321,11 +321,11 @@
 // removeServer evicts a server that the list has removed. With SoftRemoval a server that was not draining stays:
 // an incomplete list must not take servers out of use.
 func (r *Router) removeServer(s *server) {
-	if s == nil || s.life == LifeGone || r.cfg.SoftRemoval && s.life != LifeDraining {
+	if s == nil || s.life == LifeRemoved || r.cfg.SoftRemoval && s.life != LifeDraining {
 		return
 	}
 	r.polls.remove(&s.timer)
-	if s.life, s.drained = LifeGone, s.life == LifeDraining; !s.drained {
+	if s.life, s.drained = LifeRemoved, s.life == LifeDraining; !s.drained {
 		delete(r.servers, s.id)
 	}
 	s.group.members = slices.DeleteFunc(s.group.members, func(m *server) bool { return m == s })
@@ -339,7 +339,7 @@
 	if g == nil {
 		g = &group{latency: float64(r.pollInterval) / 4, pools: [3]pool{{pace: 1}, {pace: 1}, {allowance: r.rng.Float64()}},
 			place: len(r.order)}
-		g.look.item = g
+		g.sweepSlot.item = g
 		r.groups[n] = g
 		r.order = append(r.order, g)
 	}
@@ -350,7 +350,7 @@
 // of them is due.
 func (r *Router) sendDuePolls() time.Duration {
 	if r.now >= r.subscribeAt {
-		r.acts = append(r.acts, Action{Kind: ActionSubscribe})
+		r.actions = append(r.actions, Action{Kind: ActionSubscribe})
 		r.subscribeAt = math.MaxInt64
 	}
 	if !r.cfg.Probing {
@@ -374,7 +374,7 @@
 	s.polling, s.polledAt = true, r.now
 	r.polls.remove(&s.timer)
 	r.markDirty(s.group)
-	r.acts = append(r.acts, Action{Kind: ActionPoll, Server: s.id})
+	r.actions = append(r.actions, Action{Kind: ActionPoll, Server: s.id})
 }
 
 // onPoll takes the result of a poll and schedules the next one, with backoff after failures (step 1).
@@ -435,7 +435,7 @@
 // applyAnswer learns position and role from an answer. A write's answer carries its commit position, rounded up
 // to a millisecond, which is undone here so that no replica counts as fresher than it is.
 func (r *Router) applyAnswer(s *server, e *Event, write bool) {
-	at := r.now - r.cfg.Round
+	at := r.now - r.cfg.MinBatchInterval
 	if (e.Position > 0 || e.Report.HasPosition) && s.group.primary != nil && s.nextPoll > r.now {
 		// The answer replaces a poll, which saves load where there are many routers. Without a primary no poll is put off.
 		r.pollAt(s, max(s.nextPoll, min(r.now+r.idleInterval, s.polledAt+pollCap*r.idleInterval)))
@@ -494,7 +494,7 @@
 	if r.open[e.Request] != nil {
 		return
 	} else if e.Class < 0 || e.Class >= len(r.cfg.Classes) {
-		r.acts = append(r.acts, Action{Kind: ActionReject, Request: e.Request})
+		r.actions = append(r.actions, Action{Kind: ActionReject, Request: e.Request})
 		return
 	}
 	q := &request{id: e.Request, class: &r.cfg.Classes[e.Class], group: r.groupOf(e.Group), key: e.Key,
@@ -548,7 +548,7 @@
 		r.writes[q.key]++
 	}
 	s.pending = append(s.pending, pendingAttempt{q.id, q.sends, r.now, r.dropStaleConns(s)})
-	r.acts = append(r.acts, Action{Kind: ActionTry, Request: q.id, Server: s.id})
+	r.actions = append(r.actions, Action{Kind: ActionSend, Request: q.id, Server: s.id})
 	q.sends, q.pending, q.lastServer, q.lastSent, q.withdrawn = q.sends+1, q.pending+1, s, r.now, false
 	r.turn, s.turn = r.turn+1, r.turn+1
 	if q.class.Need > NeedFresh && s == q.group.primary {
@@ -567,7 +567,7 @@
 	} else if r.idleCutoff == 0 || idle < r.idleCutoff || r.now-r.idleCutoffAt > observationTTL { // an older observation no longer counts
 		return idle
 	}
-	r.acts = append(r.acts, Action{Kind: ActionDisconnect, Server: s.id})
+	r.actions = append(r.actions, Action{Kind: ActionDisconnect, Server: s.id})
 	s.conns = 0
 	return 0
 }
@@ -591,12 +591,12 @@
 // maySend reports whether another attempt is allowed. Guards against executing twice what must run once: beyond
 // the first attempt that may have run, only safe requests and keyed ones within their window may be sent again.
 func (r *Router) maySend(q *request) bool {
-	if q.done || q.streamed || q.sends >= r.cfg.TryLimit || r.now >= q.deadline ||
-		q.pending > 0 && !r.cfg.ParallelTries {
+	if q.done || q.streamed || q.sends >= r.cfg.AttemptLimit || r.now >= q.deadline ||
+		q.pending > 0 && !r.cfg.ParallelAttempts {
 		return false
 	}
 	return q.pending == 0 && !q.mayHaveRun || q.class.Effect == Safe ||
-		q.class.Effect == Keyed && r.now-q.windowStart < q.class.Window-2*r.cfg.Round
+		q.class.Effect == Keyed && r.now-q.windowStart < q.class.Window-2*r.cfg.MinBatchInterval
 }
 
 // leavesScope reports whether a further attempt at s would run outside the zone whose servers discard repeats,
@@ -625,7 +625,7 @@
 		return p
 	}
 	s := r.bestReplica(q, r.freshEnough)
-	if s == nil && r.cfg.Behind != BehindServe && !q.missed {
+	if s == nil && r.cfg.LagPolicy != LagServe && !q.missed {
 		s = r.bestReplica(q, r.mayCatchUp)
 	}
 	if s != nil || p == nil || p == q.lastServer || r.expediteForRead(q) || !r.accepts(p, q) || !r.mayFallBack(q) {
@@ -659,7 +659,7 @@
 	firstPollPending := func(s *server) bool { return s.positionAt == 0 && s.failedPolls == 0 } // its first poll is unanswered
 	if !r.cfg.Probing || slices.ContainsFunc(q.group.members, firstPollPending) {
 		return r.cfg.Probing
-	} else if r.cfg.Behind != BehindServe || q.class.Need == NeedAny {
+	} else if r.cfg.LagPolicy != LagServe || q.class.Need == NeedAny {
 		return false
 	}
 	for ; q.expedited < expeditedPolls; q.expedited++ {
@@ -672,7 +672,7 @@
 		r.sendPoll(s)
 		q.expeditedAt = r.now
 	}
-	return q.expedited > 0 && r.now-q.expeditedAt < 10*r.cfg.Round && slices.ContainsFunc(q.group.members,
+	return q.expedited > 0 && r.now-q.expeditedAt < 10*r.cfg.MinBatchInterval && slices.ContainsFunc(q.group.members,
 		func(s *server) bool { return s.polling && s.polledAt == q.expeditedAt })
 }
 
@@ -747,7 +747,7 @@
 	}
 	// A draining primary still takes writes until its role is handed over, at most for the drain grace.
 	return s.life == LifeReady || s.life == LifeDraining && s == s.group.primary && q.class.Need <= NeedFresh &&
-		r.now-s.lifeSince < r.cfg.DrainGrace-2*r.cfg.Round
+		r.now-s.lifeSince < r.cfg.DrainGrace-2*r.cfg.MinBatchInterval
 }
 
 // hasCapacity reports whether a server may have one more pending request (concurrency limit). While connections
@@ -786,7 +786,7 @@
 // silenceTimeout is how long a server may leave requests unanswered before it counts as silent. It spans many
 // mean latencies, so that a single long request does not look like a hang.
 func (r *Router) silenceTimeout(s *server) time.Duration {
-	return max(time.Duration(silenceFactor*s.group.latency), 10*r.cfg.Round)
+	return max(time.Duration(silenceFactor*s.group.latency), 10*r.cfg.MinBatchInterval)
 }
 
 // warmEnough reports whether a server is warm or has credit (slow start): the load of all routers together must not
@@ -794,10 +794,10 @@
 func (r *Router) warmEnough(s *server, q *request) bool {
 	share := r.warmth(s)
 	if share < 1 && s == s.group.primary && q.class.Need <= NeedFresh && !q.coldCounted &&
-		r.now-q.arrived < r.cfg.Fall {
+		r.now-q.arrived < r.cfg.ColdOverloadWindow {
 		// Only the primary can serve these. Older requests earn no credit, or a backlog would arrive at once.
 		q.coldCounted = true
-		s.coldCredit += share * max(1, r.cfg.TipMultiple/2)
+		s.coldCredit += share * max(1, r.cfg.ColdOverloadMultiple/2)
 	}
 	return share >= 1 || s.coldCredit >= 1
 }
@@ -977,7 +977,7 @@
 	if r.cfg.RetryAfter && q.mayReject() {
 		a.After = r.cfg.MaxRetryAfter/2 + r.jitter(r.cfg.MaxRetryAfter/2)/2
 	}
-	r.acts = append(r.acts, a)
+	r.actions = append(r.actions, a)
 	r.close(q)
 }
 
@@ -1007,7 +1007,7 @@
 		}
 	}
 	held, all := r.held[:0], r.all[:0]
-	groups, before := r.looks.popDue(r.now, r.sweeping[:0]), len(r.acts)
+	groups, before := r.sweeps.popDue(r.now, r.sweeping[:0]), len(r.actions)
 	for _, g := range groups {
 		g.queue, g.dirty = slices.DeleteFunc(g.queue, func(q *request) bool { return q.done }), false
 		all = append(all, g.queue...)
@@ -1029,9 +1029,9 @@
 	slices.Reverse(held) // newest first: if not all can be served, the oldest are the first to be late
 	value := func(q *request) float64 {
 		if r.now-q.arrived > q.class.Target {
-			return q.class.Worth * q.class.LateWorth
+			return q.class.Value * q.class.LateValue
 		}
-		return q.class.Worth
+		return q.class.Value
 	}
 	slices.SortStableFunc(held, func(a, b *request) int { return cmp.Compare(value(b), value(a)) })
 	for _, q := range held {
@@ -1043,10 +1043,10 @@
 	clear(all)
 	r.held, r.all, r.sweeping = held, all, groups
 	for _, g := range groups {
-		if len(g.queue) > 0 && (g.dirty || len(r.acts) > before) {
-			r.looks.set(&g.look, math.MinInt64)
+		if len(g.queue) > 0 && (g.dirty || len(r.actions) > before) {
+			r.sweeps.set(&g.sweepSlot, math.MinInt64)
 		} else if len(g.queue) > 0 {
-			r.looks.set(&g.look, r.nextChange(g))
+			r.sweeps.set(&g.sweepSlot, r.nextChange(g))
 		}
 	}
 }
@@ -1055,7 +1055,7 @@
 // times at which the conditions in dispatch, finish and hedge can change by time alone.
 func (r *Router) nextChange(g *group) time.Duration {
 	until := time.Duration(math.MaxInt64)
-	if r.cfg.Behind != BehindServe || !r.cfg.Probing {
+	if r.cfg.LagPolicy != LagServe || !r.cfg.Probing {
 		return math.MinInt64 // replicas may catch up at any time
 	}
 	if r.connLimitedUntil > r.now {
@@ -1086,14 +1086,14 @@
 		if q.lastSent < s.newestAnswered {
 			late = q.lastSent + r.silenceTimeout(s) + 1
 		}
-		if late > r.now || q.class.Effect == Safe || r.cfg.ParallelTries {
+		if late > r.now || q.class.Effect == Safe || r.cfg.ParallelAttempts {
 			until = min(until, late)
 		}
 	}
 	if q.pending > 0 || q.class.Need <= NeedFresh || q.group.primary == nil {
 		return until
 	}
-	if wait := q.expeditedAt + 10*r.cfg.Round; q.expedited > 0 && wait > r.now {
+	if wait := q.expeditedAt + 10*r.cfg.MinBatchInterval; q.expedited > 0 && wait > r.now {
 		until = min(until, wait)
 	}
 	for _, m := range q.group.members {
@@ -1108,13 +1108,13 @@
 // would come too late to have any value, or after holdShare of its time if it was never sent.
 func (r *Router) giveUpAt(q *request) time.Duration {
 	end := q.deadline
-	if q.class.LateWorth == 0 {
+	if q.class.LateValue == 0 {
 		end = min(end, q.arrived+q.class.Target)
 	}
 	need := min(time.Duration(q.group.latency), q.class.Target/2) // or a period of high latency would shed all requests without a trial
-	end = min(end-need, q.deadline-2*r.cfg.Round)
+	end = min(end-need, q.deadline-2*r.cfg.MinBatchInterval)
 	if q.sends == 0 {
-		end = min(end, q.arrived+time.Duration(holdShare*float64(q.deadline-q.arrived))-2*r.cfg.Round)
+		end = min(end, q.arrived+time.Duration(holdShare*float64(q.deadline-q.arrived))-2*r.cfg.MinBatchInterval)
 	}
 	return end
 }
@@ -1129,13 +1129,13 @@
 	}
 	switch lost := r.connLost(s, q); {
 	case q.class.Effect != Safe && !lost:
-	case r.cfg.ParallelTries:
+	case r.cfg.ParallelAttempts:
 		if q.pending < 2 && r.retryBudget >= 1 && r.dispatch(q) {
 			r.retryBudget--
 		}
 	case r.cfg.Cancel && q.class.Effect == Safe && r.retryBudget >= 1: // without budget the pending attempt may still be answered
 		q.withdrawn = true
-		r.acts = append(r.acts, Action{Kind: ActionWithdraw, Request: q.id, Attempt: q.sends - 1})
+		r.actions = append(r.actions, Action{Kind: ActionWithdraw, Request: q.id, Attempt: q.sends - 1})
 	}
 }
 
@@ -1145,12 +1145,12 @@
 	if len(r.open) > 0 {
 		next = min(next, r.now+r.sweepInterval)
 	}
-	next = max(next, r.now+r.cfg.Round)
+	next = max(next, r.now+r.cfg.MinBatchInterval)
 	if next >= r.now+time.Hour || r.timerAt != 0 && r.timerAt <= next {
 		return
 	}
 	r.token, r.timerAt = r.token+1, next
-	r.acts = append(r.acts, Action{Kind: ActionTimer, Token: r.token, After: next - r.now})
+	r.actions = append(r.actions, Action{Kind: ActionTimer, Token: r.token, After: next - r.now})
 }
 
 // jitter returns a random time from half of d to one and a half of d.
@@ -1158,4 +1158,4 @@
 	return time.Duration((0.5 + r.rng.Float64()) * float64(d))
 }
 
-func (r *Router) log(text string) { r.acts = append(r.acts, Action{Kind: ActionLog, Text: text}) }
+func (r *Router) log(text string) { r.actions = append(r.actions, Action{Kind: ActionLog, Text: text}) }
--- a/balance/balance_test.go
+++ b/balance/balance_test.go
@@ -24,17 +24,17 @@
 func baseConfig() Config {
 	return Config{
 		Classes: []Class{
-			{Name: "w", Effect: Unsafe, Need: NeedWrite, Target: 500 * ms, Deadline: 5 * time.Second, Worth: 6, LateWorth: 0.5},
-			{Name: "b", Need: NeedBounded, Bound: 200 * ms, Target: 400 * ms, Deadline: time.Second, Worth: 2},
-			{Name: "s", Need: NeedSession, Target: 400 * ms, Deadline: time.Second, Worth: 1},
-			{Name: "f", Need: NeedFresh, Target: 400 * ms, Deadline: time.Second, Worth: 1},
-			{Name: "a", Need: NeedAny, Target: 400 * ms, Deadline: time.Second, Worth: 1},
+			{Name: "w", Effect: Unsafe, Need: NeedWrite, Target: 500 * ms, Deadline: 5 * time.Second, Value: 6, LateValue: 0.5},
+			{Name: "b", Need: NeedBounded, Bound: 200 * ms, Target: 400 * ms, Deadline: time.Second, Value: 2},
+			{Name: "s", Need: NeedSession, Target: 400 * ms, Deadline: time.Second, Value: 1},
+			{Name: "f", Need: NeedFresh, Target: 400 * ms, Deadline: time.Second, Value: 1},
+			{Name: "a", Need: NeedAny, Target: 400 * ms, Deadline: time.Second, Value: 1},
 			{Name: "k", Effect: Keyed, Need: NeedWrite, Target: 500 * ms, Deadline: 3 * time.Second, Window: time.Second,
-				Worth: 6, LateWorth: 0.5},
+				Value: 6, LateValue: 0.5},
 		},
-		Round: 5 * ms, Origin: time.Second, Positions: true, DrainGrace: 500 * ms, AnswerSlack: 20 * ms,
-		ColdFrom: 0.2, RampTime: 10 * time.Second, TipMultiple: 3, Fall: time.Second, Cancel: true, Probing: true,
-		TryLimit: 6, RetryAfter: true, MaxRetryAfter: time.Second, DialTimeout: 250 * ms,
+		MinBatchInterval: 5 * ms, Origin: time.Second, Positions: true, DrainGrace: 500 * ms, AnswerSlack: 20 * ms,
+		ColdFrom: 0.2, RampTime: 10 * time.Second, ColdOverloadMultiple: 3, ColdOverloadWindow: time.Second, Cancel: true, Probing: true,
+		AttemptLimit: 6, RetryAfter: true, MaxRetryAfter: time.Second, DialTimeout: 250 * ms,
 	}
 }
 
@@ -67,7 +67,7 @@
 	g.last = g.r.Step(g.now, events, nil)
 	for _, a := range g.last {
 		switch a.Kind {
-		case ActionTry:
+		case ActionSend:
 			if _, ok := g.final[a.Request]; ok {
 				g.t.Errorf("attempt of %d after its final answer", a.Request)
 			}
@@ -89,7 +89,7 @@
 // run advances the clock by d and delivers the router's timers.
 func (g *harness) run(d time.Duration) {
 	for end := g.now + d; g.now < end; {
-		g.now += g.r.cfg.Round
+		g.now += g.r.cfg.MinBatchInterval
 		var due []Event
 		for i := 0; i < len(g.timers); i++ {
 			if g.timerAt[i] <= g.now {
@@ -509,7 +509,7 @@
 // newLowTrafficHarness returns one of 40 routers with three ready servers, after two reads that opened connections.
 func newLowTrafficHarness(t *testing.T, parallel bool) *harness {
 	cfg := baseConfig()
-	cfg.Routers, cfg.ParallelTries = 40, parallel
+	cfg.Routers, cfg.ParallelAttempts = 40, parallel
 	g := newHarness(t, cfg, 3)
 	g.ready(3)
 	for id := RequestID(900); id < 902; id++ {
@@ -552,7 +552,7 @@
 // checked before each use, as on the platform, the read is queued at the server, and idle connections must stay open.
 func TestSilenceOnCheckedConnectionsClosesNone(t *testing.T) {
 	g := newLowTrafficHarness(t, true)
-	g.r.ConnsAreChecked()
+	g.r.AssumeCheckedConns()
 	g.now += 3 * time.Second
 	g.request(1, anyRead)
 	g.run(time.Second)
@@ -680,7 +680,7 @@
 	list(ListFull, Entry{Server: 1}, Entry{Server: 2})
 	g.request(1, anyRead)
 	g.wantAttempts(1, 1)
-	list(ListDelta, Entry{Server: 2, Life: LifeGone})
+	list(ListDelta, Entry{Server: 2, Life: LifeRemoved})
 	list(ListFull, Entry{Server: 1}, Entry{Server: 2})
 	g.report(2, false, 5*ms)
 	g.request(2, anyRead)
@@ -708,7 +708,7 @@
 
 func TestFailedListRequestIsRepeated(t *testing.T) {
 	cfg := baseConfig()
-	cfg.AskList, cfg.AskWithin = true, 10*time.Second
+	cfg.SubscribeToList, cfg.SubscribeWithin = true, 10*time.Second
 	g := newHarness(t, cfg, 2)
 	if g.count(ActionSubscribe) != 1 {
 		t.Fatal("no list was asked for at the start")
--- a/balance/bench_test.go
+++ b/balance/bench_test.go
@@ -45,7 +45,7 @@
 		e := Event{Kind: EventRequest, Request: id, Class: anyRead, Group: groups - 1, Deadline: now + time.Second}
 		actions = r.Step(now, []Event{e}, actions[:0])
 		for _, a := range actions {
-			if a.Kind == ActionTry && a.Request == id {
+			if a.Kind == ActionSend && a.Request == id {
 				done := Event{Kind: EventOutcome, Request: id, Server: a.Server, Outcome: OutcomeOK, Role: RoleReplica,
 					Settled: true, Age: 10 * time.Millisecond, Position: now - cfg.Origin}
 				actions = r.Step(now, []Event{done}, actions[:0])
--- a/balance/example_test.go
+++ b/balance/example_test.go
@@ -11,8 +11,8 @@
 func Example() {
 	cfg := balance.Config{
 		Classes: []balance.Class{{Name: "write", Effect: balance.Unsafe, Need: balance.NeedWrite,
-			Target: 500 * time.Millisecond, Deadline: 5 * time.Second, Worth: 1}},
-		Probing: true, TryLimit: 3, RampTime: 10 * time.Second, DrainGrace: time.Second,
+			Target: 500 * time.Millisecond, Deadline: 5 * time.Second, Value: 1}},
+		Probing: true, AttemptLimit: 3, RampTime: 10 * time.Second, DrainGrace: time.Second,
 	}
 	router, err := balance.New(cfg, 42)
 	if err != nil {
@@ -27,7 +27,7 @@
 			switch a.Kind {
 			case balance.ActionPoll:
 				fmt.Println("poll", a.Server)
-			case balance.ActionTry:
+			case balance.ActionSend:
 				fmt.Println("send request", a.Request, "to", a.Server)
 			}
 		}
--- a/balance/index_test.go
+++ b/balance/index_test.go
@@ -27,20 +27,20 @@
 
 func drawConfig(rng *rand.Rand) Config {
 	b := func() bool { return rng.IntN(2) == 0 }
-	c := Config{Routers: rng.IntN(30), Round: time.Duration(1+rng.IntN(5)) * ms, Origin: time.Second, Positions: true,
-		Behind: Behind(0), CatchUpWait: 50 * ms, RouterTokens: rng.IntN(4) == 0, AskList: rng.IntN(6) == 0, AskWithin: time.Second, DrainGrace: 500 * ms,
-		SoftRemoval: rng.IntN(5) == 0, AnswerSlack: 20 * ms, ColdFrom: 0.2, RampTime: time.Duration(rng.IntN(2)) * 5 * time.Second, TipMultiple: 3, Fall: time.Second, Cancel: b(),
-		Probing: rng.IntN(6) > 0, ParallelTries: rng.IntN(4) == 0, TryLimit: 1 + rng.IntN(10), RetryAfter: b(), MaxRetryAfter: time.Second, DialTimeout: 250 * ms}
+	c := Config{Routers: rng.IntN(30), MinBatchInterval: time.Duration(1+rng.IntN(5)) * ms, Origin: time.Second, Positions: true,
+		LagPolicy: LagPolicy(0), CatchUpWait: 50 * ms, RouterTokens: rng.IntN(4) == 0, SubscribeToList: rng.IntN(6) == 0, SubscribeWithin: time.Second, DrainGrace: 500 * ms,
+		SoftRemoval: rng.IntN(5) == 0, AnswerSlack: 20 * ms, ColdFrom: 0.2, RampTime: time.Duration(rng.IntN(2)) * 5 * time.Second, ColdOverloadMultiple: 3, ColdOverloadWindow: time.Second, Cancel: b(),
+		Probing: rng.IntN(6) > 0, ParallelAttempts: rng.IntN(4) == 0, AttemptLimit: 1 + rng.IntN(10), RetryAfter: b(), MaxRetryAfter: time.Second, DialTimeout: 250 * ms}
 	if rng.IntN(4) == 0 {
-		c.Behind = Behind(rng.IntN(3))
+		c.LagPolicy = LagPolicy(rng.IntN(3))
 	}
 	c.Classes = []Class{
-		{Name: "a", Need: NeedBounded, Bound: 200 * ms, Target: 400 * ms, Deadline: time.Second, Worth: 2},
-		{Name: "o", Need: NeedSession, Target: 250 * ms, Deadline: time.Second, Worth: 1},
-		{Name: "w", Need: NeedWrite, Effect: Unsafe, Target: 500 * ms, Deadline: 3 * time.Second, Worth: 6, LateWorth: 0.5},
-		{Name: "k", Need: NeedWrite, Effect: Keyed, Window: 2 * time.Second, Target: 500 * ms, Deadline: 2 * time.Second, Worth: 6},
-		{Name: "f", Need: NeedFresh, Target: 400 * ms, Deadline: time.Second, Worth: 1},
-		{Name: "y", Need: NeedAny, Target: time.Second, Deadline: 2 * time.Second, Worth: 1},
+		{Name: "a", Need: NeedBounded, Bound: 200 * ms, Target: 400 * ms, Deadline: time.Second, Value: 2},
+		{Name: "o", Need: NeedSession, Target: 250 * ms, Deadline: time.Second, Value: 1},
+		{Name: "w", Need: NeedWrite, Effect: Unsafe, Target: 500 * ms, Deadline: 3 * time.Second, Value: 6, LateValue: 0.5},
+		{Name: "k", Need: NeedWrite, Effect: Keyed, Window: 2 * time.Second, Target: 500 * ms, Deadline: 2 * time.Second, Value: 6},
+		{Name: "f", Need: NeedFresh, Target: 400 * ms, Deadline: time.Second, Value: 1},
+		{Name: "y", Need: NeedAny, Target: time.Second, Deadline: 2 * time.Second, Value: 1},
 	}
 	return c
 }
@@ -127,11 +127,11 @@
 		}
 		for _, x := range a {
 			switch x.Kind {
-			case ActionTry:
+			case ActionSend:
 				d := time.Duration(rng.ExpFloat64() * 20 * slow * float64(ms))
 				o := OutcomeOK
 				if over[x.Request] {
-					o, d = OutcomeMoot, 0
+					o, d = OutcomeUnsent, 0
 				} else if now < down[x.Server] {
 					o = []Outcome{OutcomeTimeout, OutcomeConnectFailed, OutcomeReset, OutcomeTimeout}[rng.IntN(4)]
 					if o == OutcomeTimeout {
@@ -163,7 +163,7 @@
 		if rng.IntN(300) == 0 {
 			gap = time.Duration(rng.IntN(2000)) * ms
 		}
-		now += max(gap, cfg.Round)
+		now += max(gap, cfg.MinBatchInterval)
 		evs = nil
 		report := func(s ServerID) Report {
 			g := int(s-1) / 100
@@ -235,7 +235,7 @@
 				over[id] = rng.IntN(3) > 0
 				kind := EventAborted
 				if !over[id] {
-					kind = EventOpened
+					kind = EventStreaming
 				}
 				evs = append(evs, Event{Kind: kind, Request: id})
 			}
--- a/balance/invariant_test.go
+++ b/balance/invariant_test.go
@@ -32,7 +32,7 @@
 func (l *checker) check(acts []Action) {
 	for _, a := range acts {
 		switch a.Kind {
-		case ActionTry:
+		case ActionSend:
 			l.checkAttempt(a)
 		case ActionReject, ActionFail:
 			e := l.open[a.Request]
@@ -52,7 +52,7 @@
 	if e == nil || e.final {
 		l.t.Fatalf("attempt of %d, which is finished", a.Request)
 	}
-	if len(e.pending) > 0 && !l.cfg.ParallelTries {
+	if len(e.pending) > 0 && !l.cfg.ParallelAttempts {
 		l.t.Errorf("two attempts of %d in flight at once", a.Request)
 	}
 	if e.mayHaveRun || len(e.pending) > 0 {
@@ -65,7 +65,7 @@
 	if at, ok := l.drained[a.Server]; ok && l.now-at > l.cfg.DrainGrace {
 		l.t.Errorf("send to a server drained for %v", l.now-at)
 	}
-	if e.class.Need == NeedBounded && l.cfg.Behind == BehindServe && !l.primary[a.Server] &&
+	if e.class.Need == NeedBounded && l.cfg.LagPolicy == LagServe && !l.primary[a.Server] &&
 		l.position[a.Server] < l.now-e.class.Bound {
 		l.t.Errorf("bounded read of %d sent to a server not known to be within the bound", a.Request)
 	}
@@ -100,7 +100,7 @@
 				token = a.Token
 			}
 		}
-		l.now += cfg.Round
+		l.now += cfg.MinBatchInterval
 		events = append(l.randomEvents(rng, polls), Event{Kind: EventTimer, Token: token})
 		for range rng.IntN(3) {
 			class := rng.IntN(len(cfg.Classes))
@@ -193,11 +193,11 @@
 func TestRulesHoldUnderRandomEvents(t *testing.T) {
 	for seed := range uint64(12) {
 		cfg := baseConfig()
-		cfg.ParallelTries = seed%2 == 1
+		cfg.ParallelAttempts = seed%2 == 1
 		cfg.RouterTokens = seed%3 == 1
-		cfg.AskList = seed%4 == 3
+		cfg.SubscribeToList = seed%4 == 3
 		if seed%5 == 2 {
-			cfg.Behind, cfg.CatchUpWait = BehindWait, 100*ms
+			cfg.LagPolicy, cfg.CatchUpWait = LagWait, 100*ms
 		}
 		first := runRandom(t, cfg, seed)
 		if t.Failed() {
--- a/balance/view.go
+++ b/balance/view.go
@@ -19,18 +19,18 @@
 
 // View is a router's current state of one server, for operators and tests.
 type View struct {
-	Server   ServerID
-	Life     Life
-	Primary  bool          // it counts as the group's primary
-	Polled   bool          // it answered a poll since its last failure
-	Silent   bool          // it leaves its pending requests unanswered
-	Fails    int           // consecutive failed polls
-	Out      int           // pending requests of this router
-	Limit    float64       // most pending requests, at least 1; the primary's depends on the class too
-	Warmth   float64       // least share of its capacity that it has, 0 to 1 (slow start)
-	Credit   float64       // requests that may be sent while it is cold
-	Behind   time.Duration // age of its highest reported position
-	Position time.Duration // highest reported position as a clock time; 0 if none
+	Server      ServerID
+	Life        Life
+	Primary     bool          // it counts as the group's primary
+	Polled      bool          // it answered a poll since its last failure
+	Silent      bool          // it leaves its pending requests unanswered
+	FailedPolls int           // consecutive failed polls
+	Pending     int           // pending requests of this router
+	Limit       float64       // most pending requests, at least 1; the primary's depends on the class too
+	Warmth      float64       // least share of its capacity that it has, 0 to 1 (slow start)
+	Credit      float64       // requests that may be sent while it is cold
+	Lag         time.Duration // age of its highest reported position
+	Position    time.Duration // highest reported position as a clock time; 0 if none
 }
 
 // Views appends the state of each server to list, ordered by first mention of the group and by server ID.
@@ -38,16 +38,16 @@
 	for _, g := range r.order {
 		for _, s := range g.members {
 			list = append(list, View{Server: s.id, Life: s.life, Primary: g.primary == s, Polled: s.polled, Silent: r.silent(s),
-				Fails: s.failedPolls, Out: len(s.pending), Limit: s.limit, Warmth: r.warmth(s), Credit: s.coldCredit,
-				Behind: r.now - s.position, Position: s.position})
+				FailedPolls: s.failedPolls, Pending: len(s.pending), Limit: s.limit, Warmth: r.warmth(s), Credit: s.coldCredit,
+				Lag: r.now - s.position, Position: s.position})
 		}
 	}
 	return list
 }
 
-// Paces returns the shares of first attempts, 0 to 1, that a group currently admits: of requests that only the primary serves, of
+// AdmissionRates returns the shares of first attempts, 0 to 1, that a group currently admits: of requests that only the primary serves, of
 // reads, and of reads that fall back to the primary. An unknown group has zeros.
-func (r *Router) Paces(group int) [3]float64 {
+func (r *Router) AdmissionRates(group int) [3]float64 {
 	var p [3]float64
 	if g := r.groups[group]; g != nil {
 		for i := range p {
@@ -57,5 +57,5 @@
 	return p
 }
 
-// Budget returns the retry budget: how many further attempts may be sent, from 0 to 20.
-func (r *Router) Budget() float64 { return r.retryBudget }
+// RetryBudget returns the retry budget: how many further attempts may be sent, from 0 to 20.
+func (r *Router) RetryBudget() float64 { return r.retryBudget }
--- a/driver/connlimit.go
+++ b/driver/connlimit.go
@@ -29,7 +29,7 @@
 
 // open returns the number of open connections to the node, its prober included.
 func (n *node) open() int {
-	open := n.Len() - n.Dials
+	open := n.Len() - n.Dialing
 	if n.prober != nil && n.prober.state != dialing {
 		open++
 	}
@@ -42,7 +42,7 @@
 // mayDial reports whether another connection for requests may be opened now. It guards against using up the node's
 // max_connections.
 func (e *Engine) mayDial(n *node) bool {
-	return !n.atConnLimit() || n.Dials == 0 && e.now >= n.backoff.until
+	return !n.atConnLimit() || n.Dialing == 0 && e.now >= n.backoff.until
 }
 
 // startDialBackoff starts or doubles the backoff after a node refused a connection as full, and sets a timer for
@@ -93,14 +93,14 @@
 	if !ok {
 		return false
 	}
-	n.Lose(false)
+	n.RemoveBusy(false)
 	e.becomeProber(c)
 	return true
 }
 
 // queuePoll makes a poll wait for a busy connection at the node's connection limit, and reports whether it does.
 func (n *node) queuePoll() bool {
-	n.pollQueued = n.atConnLimit() && n.Busy > n.Dials
+	n.pollQueued = n.atConnLimit() && n.Busy > n.Dialing
 	return n.pollQueued
 }
 
--- a/driver/conns.go
+++ b/driver/conns.go
@@ -144,8 +144,8 @@
 		q.slice.waiting--
 	}
 	q.inFlight++
-	if q.done || a.number >= max(1, e.cfg.Router.TryLimit) {
-		e.endAttempt(a, balance.Event{Outcome: balance.OutcomeMoot})
+	if q.done || a.number >= max(1, e.cfg.Router.AttemptLimit) {
+		e.endAttempt(a, balance.Event{Outcome: balance.OutcomeUnsent})
 		return
 	}
 	if e.rejectIfBlocked(a) {
@@ -166,7 +166,7 @@
 		return
 	}
 	n.queue = append(n.queue, a)
-	if e.refill(n); n.atConnLimit() && n.open() == 0 && n.Dials == 0 {
+	if e.refill(n); n.atConnLimit() && n.open() == 0 && n.Dialing == 0 {
 		e.endAttempt(a, balance.Event{Outcome: balance.OutcomeFull})
 		return
 	}
@@ -179,8 +179,8 @@
 
 // refill opens one connection per queued attempt, within Config.PoolSize and the node's dial backoff.
 func (e *Engine) refill(n *node) {
-	for n.Dials < len(n.queue) && n.Len() < e.cfg.PoolSize && e.mayDial(n) {
-		n.Dial()
+	for n.Dialing < len(n.queue) && n.Len() < e.cfg.PoolSize && e.mayDial(n) {
+		n.StartDial()
 		e.dial(n, false)
 	}
 }
@@ -214,7 +214,7 @@
 		e.sendPoll(c)
 		return
 	}
-	c.node.Up()
+	c.node.Opened()
 	e.release(c)
 	e.refill(c.node)
 }
@@ -251,7 +251,7 @@
 	e.setConnState(c, idle)
 	c.attempt = nil
 	if n.pollQueued {
-		n.Lose(false)
+		n.RemoveBusy(false)
 		e.becomeProber(c)
 		return
 	}
@@ -314,9 +314,9 @@
 			n.prober = nil
 		}
 	case c.state == idle:
-		n.Drop(c)
+		n.RemoveIdle(c)
 	default:
-		n.Lose(c.state == dialing)
+		n.RemoveBusy(c.state == dialing)
 	}
 	e.setConnState(c, dead)
 	delete(e.conns, c.id)
@@ -549,6 +549,6 @@
 		return
 	}
 	a.streaming = true
-	e.notifyRouter(balance.Event{Kind: balance.EventOpened, Request: q.id, Attempt: a.number, Server: a.node.id, Age: e.now - a.startedAt})
+	e.notifyRouter(balance.Event{Kind: balance.EventStreaming, Request: q.id, Attempt: a.number, Server: a.node.id, Age: e.now - a.startedAt})
 	e.cmds = append(e.cmds, Command{Kind: CommandOpen, Conn: c.id, Request: q.id, Answer: e.buildAnswer(q, a, r, r.Facts.Position)}) // the token comes with the end of the stream
 }
--- a/driver/engine.go
+++ b/driver/engine.go
@@ -134,7 +134,7 @@
 	}
 	e := &Engine{cfg: cfg, tokenClasses: tokenClasses, requests: map[RequestID]*request{}, nodes: map[balance.ServerID]*node{},
 		byKey: map[nodeKey]*node{}, conns: map[ConnID]*conn{}, slices: map[string]*slice{}, byToken: map[token.SliceID][]*slice{}, rng: rand.New(rand.NewPCG(seed, 0x746f706f))}
-	e.rounds = rounds.Rounds{Router: router, Timers: &e.timers, Act: e.execute, Most: maxRounds, Pause: cfg.Router.Round}
+	e.rounds = rounds.Rounds{Router: router, Timers: &e.timers, Act: e.execute, MaxRounds: maxRounds, Pause: cfg.Router.MinBatchInterval}
 	e.sessions = newSessions(cfg.SessionBytes)
 	e.sessions.lift = func(name string, since time.Duration) (position.Position, bool) {
 		s := e.slices[name]
@@ -205,7 +205,7 @@
 	if late {
 		e.timers.Run(e.now)
 	}
-	e.rounds.Settle(e.now)
+	e.rounds.Run(e.now)
 	e.removeFinished()
 	if e.stopBy > 0 && !e.stopped && e.held == 0 {
 		e.stopped = true
@@ -241,7 +241,7 @@
 
 func (e *Engine) execute(a *balance.Action) {
 	switch a.Kind {
-	case balance.ActionTry:
+	case balance.ActionSend:
 		e.startAttempt(e.requests[a.Request], a)
 	case balance.ActionWithdraw:
 		if q := e.requests[a.Request]; q != nil && a.Attempt < len(q.attempts) {
@@ -262,7 +262,7 @@
 	}
 }
 
-func (e *Engine) notifyRouter(ev balance.Event) { e.rounds.Tell(ev) }
+func (e *Engine) notifyRouter(ev balance.Event) { e.rounds.Notify(ev) }
 
 func (e *Engine) handleRequest(ev *Event) {
 	if e.requests[ev.Request] != nil {
@@ -377,7 +377,7 @@
 // allReached reports whether every listed node of a slice has reported a position at or beyond at.
 func (e *Engine) allReached(s *slice, at position.Position) bool {
 	for _, n := range s.nodes {
-		if n.entry.Life != balance.LifeGone && (!n.facts.Known || !covers(n.facts, at)) {
+		if n.entry.Life != balance.LifeRemoved && (!n.facts.Known || !covers(n.facts, at)) {
 			return false
 		}
 	}
@@ -444,7 +444,7 @@
 	for _, a := range q.attempts {
 		switch {
 		case a.state == waiting:
-			e.endAttempt(a, balance.Event{Outcome: balance.OutcomeMoot})
+			e.endAttempt(a, balance.Event{Outcome: balance.OutcomeUnsent})
 		case a.state != sent || !a.ownsConn():
 		case a.streaming:
 			e.removeConn(a.conn, true) // its rows have no reader
@@ -523,7 +523,7 @@
 	}
 	for _, n := range e.nodes {
 		if ev.List != balance.ListDelta && !seen[n.id] {
-			n.entry.Life = balance.LifeGone
+			n.entry.Life = balance.LifeRemoved
 			if n.leavingSince == 0 && !e.cfg.Router.SoftRemoval {
 				n.leavingSince = e.now
 			}
@@ -540,7 +540,7 @@
 		return
 	}
 	for _, n := range e.nodesInOrder() {
-		if n.entry.Life != balance.LifeGone {
+		if n.entry.Life != balance.LifeRemoved {
 			continue
 		}
 		e.closeIdle(n)
--- a/driver/engine_test.go
+++ b/driver/engine_test.go
@@ -184,8 +184,8 @@
 	r.step(Event{Kind: EventRequest, Request: r.lastReq, Ask: Ask{Class: classWrite, Slice: "news", Session: "s",
 		Deadline: r.now + time.Second}}, Event{Kind: EventLeft, Request: r.lastReq})
 	for _, v := range r.e.rounds.Router.Views(nil) {
-		if v.Out != 0 {
-			t.Errorf("the router counts requests at node %d: %d", v.Server, v.Out)
+		if v.Pending != 0 {
+			t.Errorf("the router counts requests at node %d: %d", v.Server, v.Pending)
 		}
 	}
 	r.checkIdle()
--- a/driver/harness_test.go
+++ b/driver/harness_test.go
@@ -17,15 +17,15 @@
 	return Config{
 		Router: balance.Config{
 			Classes: []balance.Class{
-				{Name: "article-read", Effect: balance.Safe, Need: balance.NeedBounded, Bound: 200 * ms, Target: 400 * ms, Deadline: time.Second, Worth: 2},
-				{Name: "own-read", Effect: balance.Safe, Need: balance.NeedSession, Target: 250 * ms, Deadline: time.Second, Worth: 1},
-				{Name: "write", Effect: balance.Unsafe, Need: balance.NeedWrite, Target: 500 * ms, Deadline: 2 * time.Second, Worth: 6, LateWorth: 0.5},
-				{Name: "desk-check", Effect: balance.Safe, Need: balance.NeedFresh, Target: 400 * ms, Deadline: time.Second, Worth: 1},
-				{Name: "post", Effect: balance.Keyed, Need: balance.NeedWrite, Window: time.Second, Target: 500 * ms, Deadline: 2 * time.Second, Worth: 6},
-				{Name: "stats", Effect: balance.Safe, Need: balance.NeedAny, Target: 500 * ms, Deadline: 2 * time.Second, Worth: 1},
+				{Name: "article-read", Effect: balance.Safe, Need: balance.NeedBounded, Bound: 200 * ms, Target: 400 * ms, Deadline: time.Second, Value: 2},
+				{Name: "own-read", Effect: balance.Safe, Need: balance.NeedSession, Target: 250 * ms, Deadline: time.Second, Value: 1},
+				{Name: "write", Effect: balance.Unsafe, Need: balance.NeedWrite, Target: 500 * ms, Deadline: 2 * time.Second, Value: 6, LateValue: 0.5},
+				{Name: "desk-check", Effect: balance.Safe, Need: balance.NeedFresh, Target: 400 * ms, Deadline: time.Second, Value: 1},
+				{Name: "post", Effect: balance.Keyed, Need: balance.NeedWrite, Window: time.Second, Target: 500 * ms, Deadline: 2 * time.Second, Value: 6},
+				{Name: "stats", Effect: balance.Safe, Need: balance.NeedAny, Target: 500 * ms, Deadline: 2 * time.Second, Value: 1},
 			},
-			Routers: 1, Round: ms, Positions: true, DrainGrace: 500 * ms, AnswerSlack: 20 * ms, ColdFrom: 0.2,
-			RampTime: 10 * time.Second, TipMultiple: 3, Fall: time.Second, Cancel: true, Probing: true, TryLimit: 10,
+			Routers: 1, MinBatchInterval: ms, Positions: true, DrainGrace: 500 * ms, AnswerSlack: 20 * ms, ColdFrom: 0.2,
+			RampTime: 10 * time.Second, ColdOverloadMultiple: 3, ColdOverloadWindow: time.Second, Cancel: true, Probing: true, AttemptLimit: 10,
 			RetryAfter: true, MaxRetryAfter: time.Second, DialTimeout: 250 * ms,
 		},
 		Halls: []string{"a"}, MaxOpen: 1000, PoolSize: 8, IdleClose: 30 * time.Second, Linger: 5 * time.Second,
@@ -222,8 +222,8 @@
 		r.t.Errorf("%d requests known, %d held after everything ended", len(r.e.requests), r.e.held)
 	}
 	for _, n := range r.e.nodes {
-		if n.Busy != 0 || n.Dials != 0 || len(n.queue) != 0 || len(n.Idle) != 0 {
-			r.t.Errorf("node %s: %d busy, %d dials, %d queued, %d idle after everything ended", n.entry.Name, n.Busy, n.Dials, len(n.queue), len(n.Idle))
+		if n.Busy != 0 || n.Dialing != 0 || len(n.queue) != 0 || len(n.Idle) != 0 {
+			r.t.Errorf("node %s: %d busy, %d dials, %d queued, %d idle after everything ended", n.entry.Name, n.Busy, n.Dialing, len(n.queue), len(n.Idle))
 		}
 	}
 }
--- a/driver/life.go
+++ b/driver/life.go
@@ -125,8 +125,8 @@
 		}
 	}
 	for n, k := range counts {
-		if n.Busy != k.busy || n.Dials != k.dials || len(n.Idle) != k.idle {
-			return fmt.Errorf("node %s counts %d busy, %d dialling, %d idle connections; there are %d, %d, %d", n.entry.Name, n.Busy, n.Dials, len(n.Idle), k.busy, k.dials, k.idle)
+		if n.Busy != k.busy || n.Dialing != k.dials || len(n.Idle) != k.idle {
+			return fmt.Errorf("node %s counts %d busy, %d dialling, %d idle connections; there are %d, %d, %d", n.entry.Name, n.Busy, n.Dialing, len(n.Idle), k.busy, k.dials, k.idle)
 		}
 	}
 	held, waiting := 0, map[*slice]int{}
--- a/driver/state.go
+++ b/driver/state.go
@@ -20,7 +20,7 @@
 func (e *Engine) Nodes() []NodeState {
 	var all []NodeState
 	for _, n := range e.nodesInOrder() {
-		if n.entry.Life == balance.LifeGone {
+		if n.entry.Life == balance.LifeRemoved {
 			continue
 		}
 		all = append(all, NodeState{Name: n.entry.Name, Slice: n.slice.name, Address: n.entry.Address, Hall: n.entry.Hall,
--- a/driver/suspect.go
+++ b/driver/suspect.go
@@ -47,7 +47,7 @@
 		return
 	}
 	for _, n := range s.nodes {
-		if n.entry.Life == balance.LifeGone || n.pollPending {
+		if n.entry.Life == balance.LifeRemoved || n.pollPending {
 			continue
 		}
 		if !e.pollOnIdle(n) && n.prober == nil && !n.queuePoll() {
--- a/driver/topology.go
+++ b/driver/topology.go
@@ -113,7 +113,7 @@
 		return nil
 	}
 	for _, n := range s.nodes {
-		if n.entry.Name == name && n.entry.Life != balance.LifeGone {
+		if n.entry.Name == name && n.entry.Life != balance.LifeRemoved {
 			return n
 		}
 	}
@@ -211,7 +211,7 @@
 	ev := balance.Event{Outcome: balance.OutcomeMiss, Role: balance.RoleReplica}
 	switch {
 	case n.blocked():
-	case n.leavingSince > 0 && e.now-n.leavingSince >= e.cfg.Router.DrainGrace-2*e.cfg.Router.Round:
+	case n.leavingSince > 0 && e.now-n.leavingSince >= e.cfg.Router.DrainGrace-2*e.cfg.Router.MinBatchInterval:
 		ev = balance.Event{Outcome: balance.OutcomeFull}
 	default:
 		return
@@ -229,7 +229,7 @@
 		if !e.windowClosed(a) {
 			return a
 		}
-		e.endAttempt(a, balance.Event{Outcome: balance.OutcomeMoot}) // the window closed while it was queued
+		e.endAttempt(a, balance.Event{Outcome: balance.OutcomeUnsent}) // the window closed while it was queued
 	}
 	return nil
 }
@@ -239,7 +239,7 @@
 func (e *Engine) windowClosed(a *attempt) bool {
 	q := a.request
 	return q.class.Effect == balance.Keyed && slices.ContainsFunc(q.attempts, func(b *attempt) bool {
-		return b != a && b.sentAt > 0 && b.mayHaveRun() && e.now-b.sentAt >= q.class.Window-2*e.cfg.Router.Round
+		return b != a && b.sentAt > 0 && b.mayHaveRun() && e.now-b.sentAt >= q.class.Window-2*e.cfg.Router.MinBatchInterval
 	})
 }
 
@@ -315,7 +315,7 @@
 func (e *Engine) sampleNames() string {
 	var names []string
 	for _, n := range e.nodesInOrder() {
-		if n.entry.Life != balance.LifeGone && len(names) < 10 {
+		if n.entry.Life != balance.LifeRemoved && len(names) < 10 {
 			names = append(names, n.entry.Name)
 		}
 	}
--- a/explore/model.go
+++ b/explore/model.go
@@ -42,19 +42,19 @@
 // classes returns the request classes of the newsroom example and a keyed write.
 func classes() []balance.Class {
 	return []balance.Class{
-		{Name: "article", Need: balance.NeedBounded, Bound: 200 * ms, Target: 400 * ms, Deadline: time.Second, Worth: 2},
-		{Name: "own", Need: balance.NeedSession, Target: 250 * ms, Deadline: time.Second, Worth: 1},
-		{Name: "write", Effect: balance.Unsafe, Need: balance.NeedWrite, Target: 500 * ms, Deadline: 2 * time.Second, Worth: 6, LateWorth: 0.5},
-		{Name: "post", Effect: balance.Keyed, Need: balance.NeedWrite, Window: time.Second, Target: 500 * ms, Deadline: 2 * time.Second, Worth: 6},
-		{Name: "fresh", Need: balance.NeedFresh, Target: 400 * ms, Deadline: time.Second, Worth: 1},
+		{Name: "article", Need: balance.NeedBounded, Bound: 200 * ms, Target: 400 * ms, Deadline: time.Second, Value: 2},
+		{Name: "own", Need: balance.NeedSession, Target: 250 * ms, Deadline: time.Second, Value: 1},
+		{Name: "write", Effect: balance.Unsafe, Need: balance.NeedWrite, Target: 500 * ms, Deadline: 2 * time.Second, Value: 6, LateValue: 0.5},
+		{Name: "post", Effect: balance.Keyed, Need: balance.NeedWrite, Window: time.Second, Target: 500 * ms, Deadline: 2 * time.Second, Value: 6},
+		{Name: "fresh", Need: balance.NeedFresh, Target: 400 * ms, Deadline: time.Second, Value: 1},
 	}
 }
 
 func engineConfig() driver.Config {
 	return driver.Config{Halls: []string{"a"}, MaxOpen: 100, PoolSize: 2, IdleClose: 2 * time.Second, Linger: time.Second, PollTimeout: 250 * ms, ClockAge: 50 * ms, AnswerMargin: 20 * ms,
 		StartWithin: time.Second, CancelWork: true, SessionBytes: 1 << 16,
-		Router: balance.Config{Classes: classes(), Routers: 1, Round: ms, Positions: true, DrainGrace: 500 * ms, AnswerSlack: 20 * ms, ColdFrom: 0.2, RampTime: 10 * time.Second,
-			TipMultiple: 3, Fall: time.Second, Cancel: true, Probing: true, TryLimit: 10, RetryAfter: true, MaxRetryAfter: time.Second, DialTimeout: 250 * ms}}
+		Router: balance.Config{Classes: classes(), Routers: 1, MinBatchInterval: ms, Positions: true, DrainGrace: 500 * ms, AnswerSlack: 20 * ms, ColdFrom: 0.2, RampTime: 10 * time.Second,
+			ColdOverloadMultiple: 3, ColdOverloadWindow: time.Second, Cancel: true, Probing: true, AttemptLimit: 10, RetryAfter: true, MaxRetryAfter: time.Second, DialTimeout: 250 * ms}}
 }
 
 // startTime is the engine's time at the start. It exceeds minTimestamp, so that the hash can tell times from durations.
--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -6,22 +6,22 @@
 
 // Pool counts the connections to a node. The zero Pool is empty; it is not safe for concurrent use.
 type Pool[C comparable] struct {
-	Idle  []C // the most recently used last
-	Busy  int // connections that are not idle, including those being opened
-	Dials int // connections being opened
+	Idle    []C // the most recently used last
+	Busy    int // connections that are not idle, including those being opened
+	Dialing int // connections being opened
 }
 
 // Len returns the number of connections, including those being opened.
 func (p *Pool[C]) Len() int { return p.Busy + len(p.Idle) }
 
-// Dial counts a connection that is being opened.
-func (p *Pool[C]) Dial() {
+// StartDial counts a connection that is being opened.
+func (p *Pool[C]) StartDial() {
 	p.Busy++
-	p.Dials++
+	p.Dialing++
 }
 
-// Up counts a connection that was being opened as open. It stays busy until Put.
-func (p *Pool[C]) Up() { p.Dials-- }
+// Opened counts a connection that was being opened as open. It stays busy until Put.
+func (p *Pool[C]) Opened() { p.Dialing-- }
 
 // Take removes the most recently used idle connection and counts it as busy; false if none is idle.
 func (p *Pool[C]) Take() (c C, ok bool) {
@@ -41,12 +41,14 @@
 	p.Idle = append(p.Idle, c)
 }
 
-// Drop removes an idle connection.
-func (p *Pool[C]) Drop(c C) { p.Idle = slices.DeleteFunc(p.Idle, func(i C) bool { return i == c }) }
+// RemoveIdle removes an idle connection.
+func (p *Pool[C]) RemoveIdle(c C) {
+	p.Idle = slices.DeleteFunc(p.Idle, func(i C) bool { return i == c })
+}
 
-// Lose removes a busy connection; dialing if it was being opened.
-func (p *Pool[C]) Lose(dialing bool) {
+// RemoveBusy removes a busy connection; dialing if it was being opened.
+func (p *Pool[C]) RemoveBusy(dialing bool) {
 	if p.Busy--; dialing {
-		p.Dials--
+		p.Dialing--
 	}
 }
--- a/internal/rounds/rounds.go
+++ b/internal/rounds/rounds.go
@@ -11,32 +11,32 @@
 
 // Rounds is a router with its pending events. It is not safe for concurrent use.
 type Rounds struct {
-	Router *balance.Router
-	Timers *schedule.Timers
-	Act    func(*balance.Action) // carries out an action other than setting a timer
-	Most   int                   // limit on the rounds at one time
-	Pause  time.Duration         // delay of further rounds beyond that limit
+	Router    *balance.Router
+	Timers    *schedule.Timers
+	Act       func(*balance.Action) // carries out an action other than setting a timer
+	MaxRounds int                   // limit on the rounds at one time
+	Pause     time.Duration         // delay of further rounds beyond that limit
 
-	news []balance.Event
-	acts []balance.Action
+	events  []balance.Event
+	actions []balance.Action
 }
 
-// Tell queues an event for the next round.
-func (r *Rounds) Tell(ev balance.Event) { r.news = append(r.news, ev) }
+// Notify queues an event for the next round.
+func (r *Rounds) Notify(ev balance.Event) { r.events = append(r.events, ev) }
 
-// Settle runs one round, and further ones while events are pending, up to the limit. It does not
+// Run runs one round, and further ones while events are pending, up to the limit. It does not
 // block.
-func (r *Rounds) Settle(now time.Duration) {
-	for round := 0; round == 0 || len(r.news) > 0; round++ {
-		if round == r.Most {
+func (r *Rounds) Run(now time.Duration) {
+	for round := 0; round == 0 || len(r.events) > 0; round++ {
+		if round == r.MaxRounds {
 			r.Timers.Set(now+r.Pause, func(time.Duration) {})
 			return
 		}
-		events := r.news
-		r.news = nil
-		r.acts = r.Router.Step(now, events, r.acts[:0])
-		for i := range r.acts {
-			if a := &r.acts[i]; a.Kind == balance.ActionTimer {
+		events := r.events
+		r.events = nil
+		r.actions = r.Router.Step(now, events, r.actions[:0])
+		for i := range r.actions {
+			if a := &r.actions[i]; a.Kind == balance.ActionTimer {
 				r.setTimer(now, a)
 			} else {
 				r.Act(a)
@@ -48,6 +48,6 @@
 func (r *Rounds) setTimer(now time.Duration, a *balance.Action) {
 	token := a.Token
 	r.Timers.Set(now+max(a.After, 0), func(time.Duration) {
-		r.Tell(balance.Event{Kind: balance.EventTimer, Token: token})
+		r.Notify(balance.Event{Kind: balance.EventTimer, Token: token})
 	})
 }
--- a/internal/sock/sock.go
+++ b/internal/sock/sock.go
@@ -154,9 +154,9 @@
 	}
 }
 
-// ReadPatiently reads into a buffer that it takes from shared only once there is input; the caller must put it back unless it
+// ReadPooled reads into a buffer that it takes from shared only once there is input; the caller must put it back unless it
 // is nil. It blocks until bytes, the end of the stream (io.EOF) or an error arrive.
-func (s *Socket) ReadPatiently(shared *pgwire.Buffers) (buf []byte, n int, err error) {
+func (s *Socket) ReadPooled(shared *pgwire.Buffers) (buf []byte, n int, err error) {
 	if s.raw == nil {
 		buf = shared.Get()
 		n, err = s.Read(buf)
--- a/internal/waiting/waiting.go
+++ b/internal/waiting/waiting.go
@@ -37,8 +37,8 @@
 	return t.waiters[id]
 }
 
-// Drop removes a request and returns its waiter; the zero T if there is none.
-func (t *Table[T]) Drop(id balance.RequestID) T {
+// Remove removes a request and returns its waiter; the zero T if there is none.
+func (t *Table[T]) Remove(id balance.RequestID) T {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	waiter := t.waiters[id]
@@ -46,8 +46,8 @@
 	return waiter
 }
 
-// End removes and returns all waiters. Nothing can be added afterwards.
-func (t *Table[T]) End() map[balance.RequestID]T {
+// Close removes and returns all waiters. Nothing can be added afterwards.
+func (t *Table[T]) Close() map[balance.RequestID]T {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	all := t.waiters
--- a/internal/wire/json.go
+++ b/internal/wire/json.go
@@ -15,8 +15,8 @@
 // values by commas. A list of objects has its length under .count and its items under .0, .1 and so on.
 type Values map[string]string
 
-// ValuesOfJSON flattens settings given as a JSON object. It fails if raw is not one.
-func ValuesOfJSON(raw []byte) (Values, error) {
+// ParseJSON flattens settings given as a JSON object. It fails if raw is not one.
+func ParseJSON(raw []byte) (Values, error) {
 	var tree map[string]any
 	dec := json.NewDecoder(bytes.NewReader(raw))
 	dec.UseNumber()
@@ -71,5 +71,5 @@
 // List returns a setting that is a list of plain values, nil if it is absent or empty.
 func (v Values) List(key string) []string { return (&settings{values: v}).list(key) }
 
-// Time returns a setting in milliseconds as a duration, 0 if it is absent or invalid.
-func (v Values) Time(key string) time.Duration { return (&settings{values: v}).time(key) }
+// Duration returns a setting in milliseconds as a duration, 0 if it is absent or invalid.
+func (v Values) Duration(key string) time.Duration { return (&settings{values: v}).time(key) }
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -221,7 +221,7 @@
 	case codeAborted:
 		e.Kind, e.Request = balance.EventAborted, balance.RequestID(c.u64())
 	case codeOpened:
-		e.Kind, e.Request = balance.EventOpened, balance.RequestID(c.u64())
+		e.Kind, e.Request = balance.EventStreaming, balance.RequestID(c.u64())
 		e.Attempt, e.Server, e.Age = int(c.u8()), c.server(), c.time()
 	}
 	return c.err
@@ -292,7 +292,7 @@
 		case 0:
 			e.Life = balance.LifeDraining
 		case 1:
-			e.Life = balance.LifeGone
+			e.Life = balance.LifeRemoved
 		default:
 			return fmt.Errorf("entry %d: unknown lifecycle %d, want 0, 1 or 3", i, life)
 		}
@@ -446,7 +446,7 @@
 // Action writes one action of the selected instance. A log text is cut at 65535 bytes.
 func (e *Encoder) Action(a *balance.Action) {
 	switch a.Kind {
-	case balance.ActionTry:
+	case balance.ActionSend:
 		e.head(codeTry, 22)
 		e.u64(uint64(a.Request))
 		e.server(a.Server)
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -152,7 +152,7 @@
 	}
 	r, w := cfg.Classes[0], cfg.Classes[1]
 	if r.Need != balance.NeedBounded || r.Bound != 200*time.Millisecond || w.Scope != balance.ScopeZone ||
-		w.Window != 1200500*time.Microsecond || cfg.Behind != balance.BehindWait || !cfg.Probing || len(fields) != 2 {
+		w.Window != 1200500*time.Microsecond || cfg.LagPolicy != balance.LagWait || !cfg.Probing || len(fields) != 2 {
 		t.Errorf("got %+v, %v", cfg, fields)
 	}
 	for _, change := range [][2]string{{"read_like", "odd"}, {"1000.0", "soon"}, {"recent,update", "recent"},
@@ -173,7 +173,7 @@
 	var e Encoder
 	e.Begin()
 	e.SelectInstance(3)
-	e.Action(&balance.Action{Kind: balance.ActionTry, Request: 0x1f525d3a91c4, Server: 0x232b074a120a, After: 80 * time.Millisecond})
+	e.Action(&balance.Action{Kind: balance.ActionSend, Request: 0x1f525d3a91c4, Server: 0x232b074a120a, After: 80 * time.Millisecond})
 	want := unhex(t, "26000000 6004 04000000 03000000 e803 16000000 c4913a5d521f0000 0a124a07 2b23 0000000000005440")
 	if got := e.Finish(); !bytes.Equal(got, want) {
 		t.Errorf("got %x, want %x", got, want)
--- a/lab/badday.go
+++ b/lab/badday.go
@@ -314,7 +314,7 @@
 		if d.fleet.file != nil {
 			d.sleep(fileNoticeDelay) // until drivers have read the file
 		}
-		life(balance.LifeGone)
+		life(balance.LifeRemoved)
 		d.sleep(300 * time.Millisecond)
 		n.Die()
 		d.sleep(400 * time.Millisecond)
--- a/lab/experiment/class.go
+++ b/lab/experiment/class.go
@@ -27,7 +27,7 @@
 		p.Problem(d.Name, "class needs a name and a block")
 		return
 	}
-	c := class{Class: balance.Class{Name: d.Args[0].Text, Need: balance.NeedAny, Target: 500 * time.Millisecond, Deadline: time.Second, Worth: 1}}
+	c := class{Class: balance.Class{Name: d.Args[0].Text, Need: balance.NeedAny, Target: 500 * time.Millisecond, Deadline: time.Second, Value: 1}}
 	for _, other := range s.classes {
 		if other.Name == c.Name {
 			p.Problem(d.Args[0], "class %s is defined twice", c.Name)
@@ -63,7 +63,7 @@
 	case "share":
 		c.share = p.parsePercent(w)
 	case "late-worth":
-		c.LateWorth = p.parsePercent(w)
+		c.LateValue = p.parsePercent(w)
 	case "need":
 		need, known := needs[w.Text]
 		if c.Need = need; !known || need == balance.NeedBounded {
@@ -81,7 +81,7 @@
 	case "window":
 		p.parseDuration(w, &c.Window)
 	case "worth":
-		p.Number(line, &c.Worth, 0, 1e6)
+		p.Number(line, &c.Value, 0, 1e6)
 	default:
 		p.Unknown(line.Name, classDirectives)
 	}
--- a/lab/inventory.go
+++ b/lab/inventory.go
@@ -126,7 +126,7 @@
 		d.promotionLocks[g].Lock()
 		defer d.promotionLocks[g].Unlock()
 		old := g.Primary()
-		d.setNode(old.Name, func(n *settings.Node) { n.Life = balance.LifeGone })
+		d.setNode(old.Name, func(n *settings.Node) { n.Life = balance.LifeRemoved })
 		d.sleep(fileNoticeDelay + 200*time.Millisecond)
 		if next := g.MostAdvanced(); next != nil {
 			g.Promote(next)
--- a/lab/live.go
+++ b/lab/live.go
@@ -109,10 +109,10 @@
 // siteOf returns the classes and rules of a world.
 func siteOf(cfg *world.Config) Site {
 	r := &cfg.Engine.Router
-	site := Site{Grace: r.DrainGrace, Fall: r.Fall, Tip: r.TipMultiple, Margin: 50 * time.Millisecond}
+	site := Site{Grace: r.DrainGrace, Fall: r.ColdOverloadWindow, Tip: r.ColdOverloadMultiple, Margin: 50 * time.Millisecond}
 	for i, c := range r.Classes {
 		site.Classes = append(site.Classes, Class{Name: c.Name, Need: c.Need, Effect: c.Effect, Share: cfg.Shares[i], Target: c.Target, Deadline: c.Deadline, Bound: c.Bound,
-			Window: c.Window, Value: c.Worth, LateValue: c.LateWorth})
+			Window: c.Window, Value: c.Value, LateValue: c.LateValue})
 	}
 	return site
 }
--- a/lab/livetrouble.go
+++ b/lab/livetrouble.go
@@ -53,7 +53,7 @@
 		l.drainNode(l.nodeAt(t.Place, rng), t.For)
 	case world.TroubleUnlist:
 		n := l.nodeAt(t.Place, rng)
-		l.announce(n, balance.LifeGone)
+		l.announce(n, balance.LifeRemoved)
 		l.sleep(t.For)
 		l.announce(n, balance.LifeReady)
 	case world.TroubleLoad:
@@ -174,7 +174,7 @@
 	go func() { l.announce(n, balance.LifeDraining) }()
 	l.rogue.readDrained(n, l.cfg.Notice+l.fleet.Spec.Site.Grace, duration)
 	l.sleep(duration)
-	go func() { l.announce(n, balance.LifeGone) }()
+	go func() { l.announce(n, balance.LifeRemoved) }()
 	n.Die()
 	l.sleep(duration)
 	l.restartCold(n)
--- a/lab/nodefile.go
+++ b/lab/nodefile.go
@@ -149,7 +149,7 @@
 }
 
 func stateOf(n settings.Node) string {
-	return map[balance.Life]string{balance.LifeReady: "ready", balance.LifeDraining: "draining", balance.LifeGone: "gone"}[n.Life]
+	return map[balance.Life]string{balance.LifeReady: "ready", balance.LifeDraining: "draining", balance.LifeRemoved: "gone"}[n.Life]
 }
 
 func fieldsOf(n settings.Node, indent string) string {
--- a/lab/replay.go
+++ b/lab/replay.go
@@ -340,7 +340,7 @@
 			}
 		})
 	}
-	setLife(balance.LifeGone)
+	setLife(balance.LifeRemoved)
 	p.sleep(duration)
 	setLife(balance.LifeReady)
 }
@@ -400,7 +400,7 @@
 	}
 	p.sleep(notice / 2)
 	n.Die()
-	setLife(balance.LifeGone)
+	setLife(balance.LifeRemoved)
 	fresh, err := g.AddColdNode(name, n.Hall, p.fleet.Spec.Node, 20)
 	if err != nil {
 		return
--- a/lab/topology.go
+++ b/lab/topology.go
@@ -187,7 +187,7 @@
 	p.sleep(duration / 2)
 	p.promote(g, false)
 	next := g.Primary()
-	p.setLife(next.Name, balance.LifeGone)
+	p.setLife(next.Name, balance.LifeRemoved)
 	p.countFault("list without the new primary")
 	p.mu.Lock()
 	if n := len(p.performed); n > 0 && p.performed[n-1].next == next.Name {
--- a/lab/world/host.go
+++ b/lab/world/host.go
@@ -80,7 +80,7 @@
 	var nodes []driver.Node
 	for _, s := range w.slices {
 		for _, n := range s.nodes {
-			if n.life == balance.LifeGone {
+			if n.life == balance.LifeRemoved {
 				continue
 			}
 			nodes = append(nodes, driver.Node{Name: n.name, Address: n.name, Slice: s.name, Hall: n.hall, Life: n.life, Started: n.rose})
--- a/lab/world/newsroom.go
+++ b/lab/world/newsroom.go
@@ -16,12 +16,12 @@
 		Way: 500 * time.Microsecond, Ship: 6 * ms, Apply: 3 * ms, Shares: []float64{0.46, 0.40, 0.14}, Elect: 2 * time.Second, Down: 5 * time.Second, Keys: 20, Sessions: 50,
 		Engine: driver.Config{Halls: []string{"a"}, MaxOpen: 20000, PoolSize: 64, IdleClose: 30 * time.Second, Linger: 10 * time.Second,
 			PollTimeout: 250 * ms, ClockAge: 50 * ms, StartWithin: time.Second, AnswerMargin: 20 * ms, SessionBytes: 1 << 20,
-			Router: balance.Config{Routers: drivers, Round: ms, Positions: true, DrainGrace: 500 * ms, AnswerSlack: 20 * ms, ColdFrom: 0.2,
-				RampTime: 10 * time.Second, TipMultiple: 3, Fall: time.Second, Cancel: true, Probing: true, TryLimit: 10, RetryAfter: true,
+			Router: balance.Config{Routers: drivers, MinBatchInterval: ms, Positions: true, DrainGrace: 500 * ms, AnswerSlack: 20 * ms, ColdFrom: 0.2,
+				RampTime: 10 * time.Second, ColdOverloadMultiple: 3, ColdOverloadWindow: time.Second, Cancel: true, Probing: true, AttemptLimit: 10, RetryAfter: true,
 				MaxRetryAfter: time.Second, DialTimeout: 250 * ms, Classes: []balance.Class{
-					{Name: "article-read", Need: balance.NeedBounded, Bound: 200 * ms, Target: 400 * ms, Deadline: time.Second, Worth: 2},
-					{Name: "own-read", Need: balance.NeedSession, Target: 250 * ms, Deadline: time.Second, Worth: 1},
-					{Name: "write", Effect: balance.Unsafe, Need: balance.NeedWrite, Target: 500 * ms, Deadline: 5 * time.Second, Worth: 6, LateWorth: 0.5}}}}}
+					{Name: "article-read", Need: balance.NeedBounded, Bound: 200 * ms, Target: 400 * ms, Deadline: time.Second, Value: 2},
+					{Name: "own-read", Need: balance.NeedSession, Target: 250 * ms, Deadline: time.Second, Value: 1},
+					{Name: "write", Effect: balance.Unsafe, Need: balance.NeedWrite, Target: 500 * ms, Deadline: 5 * time.Second, Value: 6, LateValue: 0.5}}}}}
 }
 
 // Admission is the front door for the classes of a world.
--- a/lab/world/recording.go
+++ b/lab/world/recording.go
@@ -54,7 +54,7 @@
 		Session: q.session.name, Driver: fmt.Sprintf("driver%d", q.host.number), Try: int32(q.try), Sent: int64(q.arrived - start), Ended: int64(w.now - start),
 		Outcome: a.Status.String(), Cause: cause, Worth: worth, Trouble: w.during(q.arrived), Broken: q.broke}
 	if q.try == 0 {
-		row.Asked = w.cfg.Engine.Router.Classes[q.class].Worth
+		row.Asked = w.cfg.Engine.Router.Classes[q.class].Value
 	}
 	row.NeedTimeline, row.NeedLSN = place(q.need)
 	if n := w.nodes[a.Node]; n != nil && a.Status == driver.Served {
--- a/lab/world/rules.go
+++ b/lab/world/rules.go
@@ -64,20 +64,20 @@
 func (n *node) arrives(q *request) {
 	w, r := n.slice.w, &n.slice.w.cfg.Engine.Router
 	since := w.now - n.rose
-	if n.rose == 0 || r.RampTime == 0 || r.Fall == 0 || since >= r.RampTime {
+	if n.rose == 0 || r.RampTime == 0 || r.ColdOverloadWindow == 0 || since >= r.RampTime {
 		n.came = n.came[:0]
 		return
 	}
 	w.chance(RuleCold)
 	n.came = append(n.came, w.now)
-	for len(n.came) > 0 && w.now-n.came[0] >= r.Fall {
+	for len(n.came) > 0 && w.now-n.came[0] >= r.ColdOverloadWindow {
 		n.came = n.came[1:]
 	}
 	speed := r.ColdFrom + (1-r.ColdFrom)*float64(since)/float64(r.RampTime)
-	can := float64(w.cfg.Cores) / w.cfg.Work.Seconds() * r.Fall.Seconds() * speed
-	if !n.tipped && float64(len(n.came)) > r.TipMultiple*can {
+	can := float64(w.cfg.Cores) / w.cfg.Work.Seconds() * r.ColdOverloadWindow.Seconds() * speed
+	if !n.tipped && float64(len(n.came)) > r.ColdOverloadMultiple*can {
 		n.tipped = true
-		w.breaks(q, RuleCold, "%s got %d requests in %v, %v after its start, and could do %.0f", n.name, len(n.came), r.Fall, since, can)
+		w.breaks(q, RuleCold, "%s got %d requests in %v, %v after its start, and could do %.0f", n.name, len(n.came), r.ColdOverloadWindow, since, can)
 	}
 }
 
@@ -128,7 +128,7 @@
 	for _, other := range n.slice.nodes {
 		switch _, leaves := h.leaving[other]; {
 		case h.w.cfg.Plant == PlantDrained && leaves && !other.down,
-			h.w.cfg.Plant == PlantCold && other.rose > 0 && !other.down && h.w.now-other.rose < h.w.cfg.Engine.Router.Fall*2:
+			h.w.cfg.Plant == PlantCold && other.rose > 0 && !other.down && h.w.now-other.rose < h.w.cfg.Engine.Router.ColdOverloadWindow*2:
 			return other
 		}
 	}
--- a/lab/world/storm_test.go
+++ b/lab/world/storm_test.go
@@ -15,7 +15,7 @@
 		earned := func(drivers int) float64 {
 			cfg := Newsroom(drivers, 2, 6, 816, 7*time.Second)
 			cfg.Seed, cfg.Tries, cfg.Pause, cfg.Greet = seed, 4, 100*ms, 6*ms
-			cfg.Engine.Router.ParallelTries, cfg.Engine.Router.TryLimit = true, 4
+			cfg.Engine.Router.ParallelAttempts, cfg.Engine.Router.AttemptLimit = true, 4
 			cfg.Engine.Router.MaxRetryAfter = 300 * ms
 			r, err := Run(cfg)
 			if err != nil {
--- a/lab/world/trouble.go
+++ b/lab/world/trouble.go
@@ -122,7 +122,7 @@
 		n := w.nodeAt(t.Place, rng)
 		w.list(n, balance.LifeDraining)
 		w.at(end, func() {
-			w.list(n, balance.LifeGone)
+			w.list(n, balance.LifeRemoved)
 			n.die()
 		})
 		w.at(end+t.For, func() {
@@ -131,7 +131,7 @@
 		})
 	case TroubleUnlist:
 		n := w.nodeAt(t.Place, rng)
-		w.list(n, balance.LifeGone)
+		w.list(n, balance.LifeRemoved)
 		w.at(end, func() { w.list(n, balance.LifeReady) })
 	case TroubleBad:
 		w.bad += t.Size
--- a/lab/world/world.go
+++ b/lab/world/world.go
@@ -316,7 +316,7 @@
 	c := &w.cfg.Engine.Router.Classes[class]
 	w.lastReq++
 	q := &request{id: w.lastReq, class: class, slice: sl, session: s, arrived: w.now, deadline: w.now + c.Deadline, host: h, first: w.now}
-	w.tally(&w.result.Asked, c.Worth)
+	w.tally(&w.result.Asked, c.Value)
 	q.key, q.late = fmt.Sprintf("k%d", rng.IntN(max(1, w.cfg.Keys))), w.cfg.Late && rng.IntN(2) == 0
 	if w.bad > 0 && c.Effect == balance.Safe {
 		q.bad = rng.Float64() < w.bad
@@ -481,10 +481,10 @@
 func (w *World) served(a *driver.Answer, q *request) float64 {
 	c := &w.cfg.Engine.Router.Classes[q.class]
 	w.result.Served++
-	worth := c.Worth * c.LateWorth
+	worth := c.Value * c.LateValue
 	if w.now-q.first <= c.Target {
 		w.result.InTarget++
-		worth = c.Worth
+		worth = c.Value
 	}
 	if q.bad {
 		worth = 0 // its own error is the answer
--- a/pgwire/reader.go
+++ b/pgwire/reader.go
@@ -39,7 +39,7 @@
 // and returns the buffer, with n bytes of data, to the caller, which owns it. If n is 0, the caller gets no buffer.
 type PooledReader interface {
 	io.Reader
-	ReadPatiently(*Buffers) (buf []byte, n int, err error)
+	ReadPooled(*Buffers) (buf []byte, n int, err error)
 }
 
 // Reader reads the messages of one direction of a connection. It is not safe for concurrent use.
@@ -53,9 +53,9 @@
 	beforeLong func(n int) error // nil for none
 }
 
-// BeforeLong sets a function that Next calls with the length of a body, in bytes, before it reads a body of 4093 bytes or
+// OnLongMessage sets a function that Next calls with the length of a body, in bytes, before it reads a body of 4093 bytes or
 // more. If f returns an error, Next returns it without reading the body.
-func (r *Reader) BeforeLong(f func(n int) error) { r.beforeLong = f }
+func (r *Reader) OnLongMessage(f func(n int) error) { r.beforeLong = f }
 
 // NewReader returns a Reader of src that refuses messages whose body is longer than maxMessage bytes, or longer than
 // DefaultMaxMessage if maxMessage is not positive.
@@ -66,9 +66,9 @@
 	return &Reader{src: src, buf: make([]byte, bufferSize), max: maxMessage}
 }
 
-// NewPatientReader returns a Reader with the limit of NewReader, which holds a buffer only from the arrival of data until
+// NewPooledReader returns a Reader with the limit of NewReader, which holds a buffer only from the arrival of data until
 // all of it has been read, so that idle connections need little memory.
-func NewPatientReader(src PooledReader, buffers *Buffers, maxMessage int) *Reader {
+func NewPooledReader(src PooledReader, buffers *Buffers, maxMessage int) *Reader {
 	r := NewReader(nil, maxMessage)
 	r.src, r.pooled, r.buffers, r.buf = src, src, buffers, nil
 	return r
@@ -144,8 +144,8 @@
 	return nil
 }
 
-// Whole reports whether the next message is buffered as a whole, so that Next does not block.
-func (r *Reader) Whole() bool {
+// MessageBuffered reports whether the next message is buffered as a whole, so that Next does not block.
+func (r *Reader) MessageBuffered() bool {
 	return r.w-r.r >= 5 && uint64(r.w-r.r) >= 1+uint64(binary.BigEndian.Uint32(r.buf[r.r+1:]))
 }
 
@@ -201,7 +201,7 @@
 		r.buffers.Put(r.buf)
 	}
 	r.r = 0
-	if r.buf, r.w, err = r.pooled.ReadPatiently(r.buffers); r.w > 0 {
+	if r.buf, r.w, err = r.pooled.ReadPooled(r.buffers); r.w > 0 {
 		return nil
 	}
 	if r.buf = nil; err == nil {
--- a/server/calls.go
+++ b/server/calls.go
@@ -39,7 +39,7 @@
 
 // answer delivers the final answer. It does not block, as each call has buffered channels.
 func (t *callTable) answer(id driver.RequestID, a driver.Answer) {
-	if c := t.Drop(id); c != nil {
+	if c := t.Remove(id); c != nil {
 		c.final <- a
 	}
 }
@@ -53,7 +53,7 @@
 
 // failAll answers every pending call as failed, because the loop has stopped.
 func (t *callTable) failAll() {
-	for _, c := range t.End() {
+	for _, c := range t.Close() {
 		c.final <- driver.Answer{Status: driver.Failed, Cause: driver.CauseStopping}
 	}
 }
--- a/server/conn.go
+++ b/server/conn.go
@@ -75,7 +75,7 @@
 		return nil
 	}
 	s := sock.New(nc)
-	rd := &readState{r: pgwire.NewPatientReader(s, l.buffers, l.maxMessage), params: map[string]string{}}
+	rd := &readState{r: pgwire.NewPooledReader(s, l.buffers, l.maxMessage), params: map[string]string{}}
 	rd.stop = context.AfterFunc(c.ctx, func() { nc.Close() })
 	if failure := c.startup(s, rd.r, l, rd.params); failure != nil {
 		rd.stop()
@@ -84,7 +84,7 @@
 		c.report(driver.Event{Kind: driver.EventDialed, Conn: c.id, Dial: failure})
 		return nil
 	}
-	rd.r.BeforeLong(c.reserveRow)
+	rd.r.OnLongMessage(c.reserveRow)
 	c.mu.Lock()
 	c.nc = s
 	c.mu.Unlock()
--- a/server/follow.go
+++ b/server/follow.go
@@ -264,7 +264,7 @@
 	nodes := make([]settings.Node, len(members))
 	for i, m := range members {
 		life := map[inventory.State]balance.Life{inventory.Ready: balance.LifeReady, inventory.Draining: balance.LifeDraining,
-			inventory.Gone: balance.LifeGone}[m.State]
+			inventory.Gone: balance.LifeRemoved}[m.State]
 		nodes[i] = settings.Node{Name: m.Name, Address: m.Address(), Slice: m.Slice, Hall: m.Hall, Life: life, Started: m.Started, Instance: m.Instance}
 	}
 	return nodes
--- a/server/service.go
+++ b/server/service.go
@@ -138,7 +138,7 @@
 	lateTimer := time.NewTimer(ask.Deadline - s.settings.AnswerMargin/4 - s.loop.now())
 	defer lateTimer.Stop()
 	abandon := func(err error) (driver.Answer, error) {
-		s.loop.calls.Drop(id)
+		s.loop.calls.Remove(id)
 		s.loop.inbox.Put(driver.Event{Kind: driver.EventLeft, Request: id})
 		return driver.Answer{}, err
 	}
--- a/settings/bind.go
+++ b/settings/bind.go
@@ -370,7 +370,7 @@
 	if len(s.Inventory) > 0 && len(s.Nodes) > 0 {
 		b.Problem(b.nodes[0], "nodes come from the inventory on line %d; remove either it or the node directives", b.inventoryAt.Line)
 	}
-	if s.LagPolicy == balance.BehindWait && s.CatchUpWait == 0 {
+	if s.LagPolicy == balance.LagWait && s.CatchUpWait == 0 {
 		b.Problem(b.seen["replicas behind"], "'behind wait' also needs catch-up, the longest wait")
 	}
 	for i, c := range s.Classes {
--- a/settings/fields.go
+++ b/settings/fields.go
@@ -81,7 +81,7 @@
 		duration("max-retry-after", "longest retry delay that they give", 0, time.Hour, func(s *Settings) *time.Duration { return &s.MaxRetryAfter }),
 	}},
 	{"replicas", []field{
-		choice("behind", "treatment of a read for which a replica lags too far behind", []string{"serve", "reject", "wait"}, func(s *Settings) *balance.Behind { return &s.LagPolicy }),
+		choice("behind", "treatment of a read for which a replica lags too far behind", []string{"serve", "reject", "wait"}, func(s *Settings) *balance.LagPolicy { return &s.LagPolicy }),
 		duration("catch-up", "longest wait for a replica to catch up, with 'behind wait'", 0, time.Minute, func(s *Settings) *time.Duration { return &s.CatchUpWait }),
 		flag("positions", "answers carry log positions", func(s *Settings) *bool { return &s.Positions }),
 		flag("driver-sessions", "sessions are also tracked by this driver's own answers", func(s *Settings) *bool { return &s.RouterTokens }),
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -71,7 +71,7 @@
 	MinBatchInterval     time.Duration
 	Origin               time.Duration
 	Positions            bool
-	LagPolicy            balance.Behind
+	LagPolicy            balance.LagPolicy
 	CatchUpWait          time.Duration
 	RouterTokens         bool
 	SubscribeToList      bool
@@ -149,16 +149,16 @@
 // deadlines that are AnswerMargin before those of the client.
 func (s *Settings) Router() balance.Config {
 	cfg := balance.Config{
-		Zone: max(0, indexOf(s.Halls, s.Zone)), Routers: s.Routers, Round: s.MinBatchInterval, Origin: s.Origin,
-		Positions: s.Positions, Behind: s.LagPolicy, CatchUpWait: s.CatchUpWait, RouterTokens: s.RouterTokens,
-		AskList: s.SubscribeToList, AskWithin: s.SubscribeWithin, DrainGrace: s.DrainGrace, SoftRemoval: s.SoftRemoval,
-		AnswerSlack: s.AnswerMargin, ColdFrom: s.ColdFrom, RampTime: s.RampTime, TipMultiple: s.ColdOverloadMultiple,
-		Fall: s.ColdOverloadTime, Cancel: s.Cancel, Probing: s.Probing, ParallelTries: s.ParallelAttempts, TryLimit: s.AttemptLimit,
-		RetryAfter: s.RetryAfter, MaxRetryAfter: s.MaxRetryAfter, DialTimeout: s.DialTimeout, ListsRole: s.ListShowsRole,
+		Zone: max(0, indexOf(s.Halls, s.Zone)), Routers: s.Routers, MinBatchInterval: s.MinBatchInterval, Origin: s.Origin,
+		Positions: s.Positions, LagPolicy: s.LagPolicy, CatchUpWait: s.CatchUpWait, RouterTokens: s.RouterTokens,
+		SubscribeToList: s.SubscribeToList, SubscribeWithin: s.SubscribeWithin, DrainGrace: s.DrainGrace, SoftRemoval: s.SoftRemoval,
+		AnswerSlack: s.AnswerMargin, ColdFrom: s.ColdFrom, RampTime: s.RampTime, ColdOverloadMultiple: s.ColdOverloadMultiple,
+		ColdOverloadWindow: s.ColdOverloadTime, Cancel: s.Cancel, Probing: s.Probing, ParallelAttempts: s.ParallelAttempts, AttemptLimit: s.AttemptLimit,
+		RetryAfter: s.RetryAfter, MaxRetryAfter: s.MaxRetryAfter, DialTimeout: s.DialTimeout, ListShowsRole: s.ListShowsRole,
 	}
 	for _, c := range s.Classes {
 		cfg.Classes = append(cfg.Classes, balance.Class{Name: c.Name, Effect: c.Effect, Scope: c.Scope, Need: c.Need,
-			Target: c.Target, Deadline: c.Deadline, Window: c.Window, Bound: c.Bound, Worth: c.Value, LateWorth: c.LateValue})
+			Target: c.Target, Deadline: c.Deadline, Window: c.Window, Bound: c.Bound, Value: c.Value, LateValue: c.LateValue})
 	}
 	return cfg
 }
