--- a/admission/admission.go
+++ b/admission/admission.go
@@ -63,30 +63,30 @@
 
 // Config configures a Gate.
 type Config struct {
-	Classes   []Class
-	MaxOpen   int           // maximum of requests in flight over all pools; positive
-	MaxBytes  int           // maximum of their total size, in bytes; positive
-	Start     int           // initial limit of a pool, in requests in flight; positive
-	Least     int           // minimum limit of a pool, from 1 to the initial limit
-	Fixed     bool          // limits keep their initial value; the baseline in comparisons
-	Retries   float64       // retry budget that each first attempt earns, in further attempts; not negative
-	LoopLate  time.Duration // event loop delay above which the driver counts as late; positive
-	LoopSpan  time.Duration // length of the window whose minimum delay is compared with it; positive
-	MaxAdvice time.Duration // upper bound of the retry time given to a refused client
+	Classes       []Class
+	MaxOpen       int           // maximum of requests in flight over all pools; positive
+	MaxBytes      int           // maximum of their total size, in bytes; positive
+	InitialLimit  int           // initial limit of a pool, in requests in flight; positive
+	MinLimit      int           // minimum limit of a pool, from 1 to the initial limit
+	FixedLimit    bool          // limits keep their initial value; the baseline in comparisons
+	RetryRatio    float64       // retry budget that each first attempt earns, in further attempts; not negative
+	MaxLoopDelay  time.Duration // event loop delay above which the driver counts as late; positive
+	LoopWindow    time.Duration // length of the window whose minimum delay is compared with it; positive
+	MaxRetryAfter time.Duration // upper bound of the retry time given to a refused client
 }
 
 // Defaults returns a Config that suits most sites, without Classes.
 func Defaults() Config {
-	return Config{MaxOpen: 20000, MaxBytes: 128 << 20, Start: 64, Least: 8, Retries: 0.2, LoopLate: 20 * time.Millisecond,
-		LoopSpan: 100 * time.Millisecond, MaxAdvice: 5 * time.Second}
+	return Config{MaxOpen: 20000, MaxBytes: 128 << 20, InitialLimit: 64, MinLimit: 8, RetryRatio: 0.2, MaxLoopDelay: 20 * time.Millisecond,
+		LoopWindow: 100 * time.Millisecond, MaxRetryAfter: 5 * time.Second}
 }
 
 func (c *Config) check() error {
 	for _, f := range []struct {
 		name string
 		ok   bool
-	}{{"Classes", len(c.Classes) > 0}, {"MaxOpen", c.MaxOpen > 0}, {"MaxBytes", c.MaxBytes > 0}, {"Start", c.Start > 0},
-		{"Least", c.Least > 0 && c.Least <= c.Start}, {"Retries", c.Retries >= 0}, {"LoopLate", c.LoopLate > 0}, {"LoopSpan", c.LoopSpan > 0}} {
+	}{{"Classes", len(c.Classes) > 0}, {"MaxOpen", c.MaxOpen > 0}, {"MaxBytes", c.MaxBytes > 0}, {"InitialLimit", c.InitialLimit > 0},
+		{"MinLimit", c.MinLimit > 0 && c.MinLimit <= c.InitialLimit}, {"RetryRatio", c.RetryRatio >= 0}, {"MaxLoopDelay", c.MaxLoopDelay > 0}, {"LoopWindow", c.LoopWindow > 0}} {
 		if !f.ok {
 			return fmt.Errorf("admission: %s is missing or out of range", f.name)
 		}
@@ -94,37 +94,37 @@
 	return nil
 }
 
-// Why is the reason why a request was admitted or refused.
-type Why uint8
+// Reason is the reason why a request was admitted or refused.
+type Reason uint8
 
 // Reasons.
 const (
-	Taken   Why = iota
-	Open        // the maximum of requests is in flight
-	Bytes       // the maximum of bytes would be exceeded
-	Full        // the pool is at its limit
-	Share       // the client has its share of a busy pool
-	Worth       // the pool's remaining capacity is reserved for classes of higher value
-	Late        // the event loop is late and the class is being shed
-	Memory      // memory is short and the class is being shed
-	Retried     // the retry budget of the class is used up
-	reasons int = iota
+	Admitted         Reason = iota
+	TooManyOpen             // the maximum of requests is in flight
+	TooManyBytes            // the maximum of bytes would be exceeded
+	PoolFull                // the pool is at its limit
+	ClientShare             // the client has its share of a busy pool
+	LowValue                // the pool's remaining capacity is reserved for classes of higher value
+	LoopLate                // the event loop is late and the class is being shed
+	MemoryShort             // memory is short and the class is being shed
+	RetryBudgetSpent        // the retry budget of the class is used up
+	reasons          int    = iota
 )
 
 // String returns the value of the metric label.
-func (w Why) String() string {
+func (w Reason) String() string {
 	return [...]string{"taken", "open", "bytes", "full", "share", "worth", "late", "memory", "retries"}[w]
 }
 
-// Verdict is the decision on one arrival.
-type Verdict struct {
-	Why     Why
-	After   time.Duration // if refused: time to wait before a retry, at least minRetryAfter
-	NoRetry bool          // if refused: the client must not retry this request
+// Decision is the decision on one arrival.
+type Decision struct {
+	Reason     Reason
+	RetryAfter time.Duration // if refused: time to wait before a retry, at least minRetryAfter
+	NoRetry    bool          // if refused: the client must not retry this request
 }
 
-// Ask describes an arriving request. Class is an index into Config.Classes, Bytes the size of the request.
-type Ask struct {
+// Request describes an arriving request. Class is an index into Config.Classes, Bytes the size of the request.
+type Request struct {
 	Client  string
 	Slice   string
 	Class   int
@@ -132,14 +132,14 @@
 	Attempt int // 0 for the first attempt
 }
 
-// End is the result of an admitted request.
-type End uint8
+// Result is the result of an admitted request.
+type Result uint8
 
 // Results.
 const (
-	Served  End = iota
-	Refused     // no node had capacity in time
-	Other       // failed, cancelled, or refused for another reason: no evidence of overload
+	Served  Result = iota
+	Refused        // no node had capacity in time
+	Other          // failed, cancelled, or refused for another reason: no evidence of overload
 )
 
 // Ticket represents an admitted request until it is passed to Done.
@@ -247,7 +247,7 @@
 	return float64(at) / float64(len(values)-1)
 }
 
-func (g *Gate) poolFor(a *Ask) *pool {
+func (g *Gate) poolFor(a *Request) *pool {
 	key := poolKey{a.Slice, g.cfg.Classes[a.Class].Primary}
 	p := g.pools[key]
 	if p == nil && len(g.pools) >= maxPools {
@@ -255,29 +255,29 @@
 		p = g.pools[key]
 	}
 	if p == nil {
-		p = &pool{limit: float64(g.cfg.Start), clients: map[string]int{}, latency: float64(g.cfg.Classes[a.Class].Target) / 4}
+		p = &pool{limit: float64(g.cfg.InitialLimit), clients: map[string]int{}, latency: float64(g.cfg.Classes[a.Class].Target) / 4}
 		g.pools[key] = p
 	}
 	return p
 }
 
-// Arrive admits or refuses a request. The ticket is nil if the request is refused. An unknown class is admitted and not
+// Admit admits or refuses a request. The ticket is nil if the request is refused. An unknown class is admitted and not
 // counted: it is validated, and refused, elsewhere.
-func (g *Gate) Arrive(now time.Duration, a Ask) (*Ticket, Verdict) {
+func (g *Gate) Admit(now time.Duration, a Request) (*Ticket, Decision) {
 	if a.Class < 0 || a.Class >= len(g.cfg.Classes) {
-		return &Ticket{class: -1}, Verdict{}
+		return &Ticket{class: -1}, Decision{}
 	}
 	p := g.poolFor(&a)
 	p.noteArrival(now, a.Client)
 	why := g.reasonFor(p, &a)
-	borrows := why == Full && g.mayBorrow(p, a.Client)
+	borrows := why == PoolFull && g.mayBorrow(p, a.Client)
 	if borrows {
 		why = g.chargeRetry(&a)
 	}
 	g.counts[why]++
-	if why != Taken {
+	if why != Admitted {
 		p.refused.add(now, 1)
-		return nil, Verdict{Why: why, After: g.retryAfter(p, now), NoRetry: why == Retried}
+		return nil, Decision{Reason: why, RetryAfter: g.retryAfter(p, now), NoRetry: why == RetryBudgetSpent}
 	}
 	p.admitted.add(now, 1)
 	p.inFlight++
@@ -288,41 +288,41 @@
 	}
 	g.open++
 	g.bytes += a.Bytes
-	return &Ticket{pool: p, client: a.Client, class: a.Class, bytes: a.Bytes, lent: borrows, at: now}, Verdict{}
+	return &Ticket{pool: p, client: a.Client, class: a.Class, bytes: a.Bytes, lent: borrows, at: now}, Decision{}
 }
 
-func (g *Gate) reasonFor(p *pool, a *Ask) Why {
+func (g *Gate) reasonFor(p *pool, a *Request) Reason {
 	switch classLimit := p.limit * g.limitShares[a.Class]; {
 	case g.open >= g.cfg.MaxOpen:
-		return Open
+		return TooManyOpen
 	case g.bytes+a.Bytes > g.cfg.MaxBytes:
-		return Bytes
+		return TooManyBytes
 	case g.shedForLoop(a.Class):
-		return Late
+		return LoopLate
 	case g.memoryLevel > len(g.cfg.Classes) || g.shedAt(a.Class, g.memoryLevel):
-		return Memory
+		return MemoryShort
 	case float64(p.inFlight) >= p.limit:
-		return Full
+		return PoolFull
 	case float64(p.inFlight) >= classLimit:
-		return Worth
+		return LowValue
 	case float64(p.inFlight) >= busyShare*p.limit && g.overShare(p, a.Client):
-		return Share
+		return ClientShare
 	}
 	return g.chargeRetry(a)
 }
 
 // chargeRetry charges a further attempt to the budget of its class, and credits the budget for a first attempt. This
 // keeps retries from multiplying an overload.
-func (g *Gate) chargeRetry(a *Ask) Why {
+func (g *Gate) chargeRetry(a *Request) Reason {
 	switch budget := &g.budget[a.Class]; {
 	case a.Attempt == 0:
-		*budget = min(*budget+g.cfg.Retries, maxBudget)
+		*budget = min(*budget+g.cfg.RetryRatio, maxBudget)
 	case *budget < 1:
-		return Retried
+		return RetryBudgetSpent
 	default:
 		*budget--
 	}
-	return Taken
+	return Admitted
 }
 
 // overShare reports whether a client exceeds its share of a pool that others use too, so that one client cannot starve
@@ -372,9 +372,9 @@
 	return g.ranks[class] < 1 && g.ranks[class]*float64(len(g.cfg.Classes)) < float64(level)
 }
 
-// Memory sets the share of the process's memory limit that is in live use, from 0 to 1. Above memoryShedStart classes
+// SetMemoryUse sets the share of the process's memory limit that is in live use, from 0 to 1. Above memoryShedStart classes
 // are shed, the more the closer it is to memoryShedAll; from memoryShedAll on every request is refused.
-func (g *Gate) Memory(used float64) {
+func (g *Gate) SetMemoryUse(used float64) {
 	classes := len(g.cfg.Classes)
 	over := (used - memoryShedStart) / (memoryShedAll - memoryShedStart)
 	if g.memoryLevel = max(0, int(math.Ceil(over*float64(classes)))); over >= 1 {
@@ -387,12 +387,12 @@
 func (g *Gate) retryAfter(p *pool, now time.Duration) time.Duration {
 	over := p.refused.now(now) / max(p.admitted.now(now), 1)
 	wait := time.Duration((0.5 + g.rng.Float64()) * min(over, 100) * float64(max(time.Duration(p.latency), minRetryAfter)))
-	return min(max(wait, minRetryAfter), g.cfg.MaxAdvice)
+	return min(max(wait, minRetryAfter), g.cfg.MaxRetryAfter)
 }
 
 // Done releases an admitted request and adjusts the limit of its pool. A second call with the same ticket has no
 // effect.
-func (g *Gate) Done(now time.Duration, t *Ticket, end End) {
+func (g *Gate) Done(now time.Duration, t *Ticket, end Result) {
 	p := t.pool
 	if p == nil {
 		return
@@ -413,7 +413,7 @@
 // adjust changes the limit of a pool after a request. The limit grows while the pool is busy and its answers come well
 // within their target; it falls with late answers, and with requests that no node had capacity for while others were
 // served.
-func (g *Gate) adjust(now time.Duration, p *pool, t *Ticket, end End) {
+func (g *Gate) adjust(now time.Duration, p *pool, t *Ticket, end Result) {
 	took, target := now-t.at, g.cfg.Classes[t.class].Target
 	switch {
 	case end == Served:
@@ -421,7 +421,7 @@
 		p.latency += 0.05 * (float64(took) - p.latency)
 		if took > target {
 			g.lowerLimit(now, p, target, lateFactor)
-		} else if float64(took) <= growBelow*float64(target) && float64(p.peak) >= busyShare*p.limit && !g.cfg.Fixed {
+		} else if float64(took) <= growBelow*float64(target) && float64(p.peak) >= busyShare*p.limit && !g.cfg.FixedLimit {
 			more := max(1/p.limit, minGrowth)
 			if p.lastCut == 0 {
 				more = 1 // slow start: until the first cut the limit grows by one per answer
@@ -438,25 +438,25 @@
 // late answer does not count while little of the limit is in use: the limit is not its cause.
 func (g *Gate) lowerLimit(now time.Duration, p *pool, target time.Duration, factor float64) {
 	interval := min(p.latency, float64(target)/2) // long latencies must not delay the cuts that would shorten them
-	if g.cfg.Fixed || float64(now-p.lastCut) < interval || float64(p.inFlight) < busyShare*p.limit {
+	if g.cfg.FixedLimit || float64(now-p.lastCut) < interval || float64(p.inFlight) < busyShare*p.limit {
 		return
 	}
-	p.limit = max(float64(g.cfg.Least), p.limit*factor)
+	p.limit = max(float64(g.cfg.MinLimit), p.limit*factor)
 	p.lastCut, p.peak = now, p.inFlight
 }
 
-// Looped records how long an event waited for the event loop. After each loop window one more class is shed if the
+// ObserveLoopDelay records how long an event waited for the event loop. After each loop window one more class is shed if the
 // minimum delay within the window shows that the loop is late, else one less. As in CoDel, the minimum distinguishes
 // a standing queue from a burst.
-func (g *Gate) Looped(now, waited time.Duration) {
+func (g *Gate) ObserveLoopDelay(now, waited time.Duration) {
 	if g.windowStart == 0 {
 		g.windowStart, g.minDelay = now, waited
 	}
 	g.minDelay = min(g.minDelay, waited)
-	if now-g.windowStart < g.cfg.LoopSpan {
+	if now-g.windowStart < g.cfg.LoopWindow {
 		return
 	}
-	if g.minDelay > g.cfg.LoopLate {
+	if g.minDelay > g.cfg.MaxLoopDelay {
 		g.loopLevel = min(g.loopLevel+1, len(g.cfg.Classes)+1)
 	} else {
 		g.loopLevel = max(g.loopLevel-1, 0)
@@ -466,13 +466,13 @@
 
 // Stats is a snapshot of a gate.
 type Stats struct {
-	Open    int
-	Bytes   int
-	Level   int // number of classes shed because the loop is late
-	Tight   int // likewise because memory is short; the number of classes plus one sheds everything
-	Counts  map[string]uint64
-	Pools   []PoolStats
-	Refused uint64
+	Open        int
+	Bytes       int
+	LoopLevel   int // number of classes shed because the loop is late
+	MemoryLevel int // likewise because memory is short; the number of classes plus one sheds everything
+	Counts      map[string]uint64
+	Pools       []PoolStats
+	Refused     uint64
 }
 
 // PoolStats is a snapshot of one pool.
@@ -486,10 +486,10 @@
 
 // Stats returns a snapshot, with the pools sorted by slice, replicas first.
 func (g *Gate) Stats() Stats {
-	st := Stats{Open: g.open, Bytes: g.bytes, Level: g.loopLevel, Tight: g.memoryLevel, Counts: map[string]uint64{}}
+	st := Stats{Open: g.open, Bytes: g.bytes, LoopLevel: g.loopLevel, MemoryLevel: g.memoryLevel, Counts: map[string]uint64{}}
 	for w, n := range g.counts {
-		st.Counts[Why(w).String()] = n
-		if Why(w) != Taken {
+		st.Counts[Reason(w).String()] = n
+		if Reason(w) != Admitted {
 			st.Refused += n
 		}
 	}
--- a/admission/admission_test.go
+++ b/admission/admission_test.go
@@ -43,7 +43,7 @@
 	end time.Duration
 }
 
-func (s *slots) arrive(a Ask) Why {
+func (s *slots) arrive(a Request) Reason {
 	for len(s.queue) > 0 && s.queue[0].end <= s.now {
 		r := s.queue[0]
 		s.queue = s.queue[1:]
@@ -55,10 +55,10 @@
 		}
 		s.g.Done(r.end, r.t, Served)
 	}
-	t, v := s.g.Arrive(s.now, a)
-	s.why[v.Why]++
-	if v.Why != Taken {
-		return v.Why
+	t, v := s.g.Admit(s.now, a)
+	s.why[v.Reason]++
+	if v.Reason != Admitted {
+		return v.Reason
 	}
 	earliest := 0
 	for i := range s.free {
@@ -69,11 +69,11 @@
 	end := max(s.free[earliest], s.now) + s.work
 	s.free[earliest] = end
 	s.queue = append(s.queue, running{t, end}) // requests take equally long, so they end in order
-	return Taken
+	return Admitted
 }
 
 // load sends requests at a constant rate per second for a time.
-func (s *slots) load(rate float64, lasts time.Duration, ask func(n int) Ask) {
+func (s *slots) load(rate float64, lasts time.Duration, ask func(n int) Request) {
 	gap := time.Duration(float64(time.Second) / rate)
 	for end, n := s.now+lasts, 0; s.now < end; n++ {
 		s.arrive(ask(n))
@@ -87,10 +87,10 @@
 	run := func(fixed int, times float64) *slots {
 		cfg := config()
 		if fixed > 0 {
-			cfg.Start, cfg.Fixed = fixed, true
+			cfg.InitialLimit, cfg.FixedLimit = fixed, true
 		}
 		s := &slots{g: gate(t, cfg), now: time.Hour, work: 50 * ms, free: make([]time.Duration, 10)}
-		s.load(200*times, 20*time.Second, func(n int) Ask { return Ask{Client: fmt.Sprint(n % 50), Slice: "s", Class: n % 2} })
+		s.load(200*times, 20*time.Second, func(n int) Request { return Request{Client: fmt.Sprint(n % 50), Slice: "s", Class: n % 2} })
 		return s
 	}
 	best := run(0, 1).value
@@ -100,8 +100,8 @@
 	if w := run(1_000_000, 10).value; w > 0.5*best {
 		t.Errorf("without a limit the value served in time is %.0f: the load does not overload the server", w)
 	}
-	if s := run(0, 0.5); s.why[Taken] < 1990 {
-		t.Errorf("at half the capacity only %d requests were admitted: %v", s.why[Taken], s.why)
+	if s := run(0, 0.5); s.why[Admitted] < 1990 {
+		t.Errorf("at half the capacity only %d requests were admitted: %v", s.why[Admitted], s.why)
 	}
 }
 
@@ -110,12 +110,12 @@
 	s := &slots{g: gate(t, config()), now: time.Hour, work: 50 * ms, free: make([]time.Duration, 10)}
 	taken, asked := map[bool]int{}, map[bool]int{}
 	for n := range 20000 {
-		a := Ask{Client: "flood", Slice: "v"}
+		a := Request{Client: "flood", Slice: "v"}
 		if n%20 == 0 {
 			a.Client = fmt.Sprint("reader ", n/20%10)
 		}
 		asked[a.Client == "flood"]++
-		if s.arrive(a) == Taken {
+		if s.arrive(a) == Admitted {
 			taken[a.Client == "flood"]++
 		}
 		s.now += 500 * time.Microsecond
@@ -129,32 +129,32 @@
 // are admitted at once, up to a quarter of the limit, but not if no client has more than its share.
 func TestFullPoolLends(t *testing.T) {
 	cfg := config()
-	cfg.Start = 40
+	cfg.InitialLimit = 40
 	g := gate(t, cfg)
 	for range 40 {
-		g.Arrive(time.Hour, Ask{Client: "flood", Slice: "s"})
+		g.Admit(time.Hour, Request{Client: "flood", Slice: "s"})
 	}
 	g.pools[poolKey{slice: "s"}].limit = 16
 	var in []*Ticket
 	for n := range 20 {
-		if k, _ := g.Arrive(time.Hour, Ask{Client: fmt.Sprint("reader ", n), Slice: "s"}); k != nil {
+		if k, _ := g.Admit(time.Hour, Request{Client: fmt.Sprint("reader ", n), Slice: "s"}); k != nil {
 			in = append(in, k)
 		}
 	}
-	if _, v := g.Arrive(time.Hour, Ask{Client: "flood", Slice: "s"}); len(in) != 4 || v.Why != Full {
-		t.Errorf("%d readers were admitted, want 4; the flooding client: %v", len(in), v.Why)
+	if _, v := g.Admit(time.Hour, Request{Client: "flood", Slice: "s"}); len(in) != 4 || v.Reason != PoolFull {
+		t.Errorf("%d readers were admitted, want 4; the flooding client: %v", len(in), v.Reason)
 	}
 	for _, k := range in {
 		g.Done(time.Hour, k, Served)
 	}
-	if k, _ := g.Arrive(time.Hour, Ask{Client: "reader 30", Slice: "s"}); k == nil {
+	if k, _ := g.Admit(time.Hour, Request{Client: "reader 30", Slice: "s"}); k == nil {
 		t.Error("lent capacity that was released is not lent again")
 	}
 	for n := range 40 {
-		g.Arrive(time.Hour, Ask{Client: fmt.Sprint(n), Slice: "even"})
+		g.Admit(time.Hour, Request{Client: fmt.Sprint(n), Slice: "even"})
 	}
-	if _, v := g.Arrive(time.Hour, Ask{Client: "one more", Slice: "even"}); v.Why != Full {
-		t.Errorf("in a full pool where each client has one request in flight, another client's decision is %v", v.Why)
+	if _, v := g.Admit(time.Hour, Request{Client: "one more", Slice: "even"}); v.Reason != PoolFull {
+		t.Errorf("in a full pool where each client has one request in flight, another client's decision is %v", v.Reason)
 	}
 }
 
@@ -163,12 +163,12 @@
 func TestMemory(t *testing.T) {
 	g := gate(t, config())
 	taken := func(used float64) (out []int) {
-		g.Memory(used)
+		g.SetMemoryUse(used)
 		for class := range g.cfg.Classes {
-			if k, v := g.Arrive(time.Hour, Ask{Client: "c", Slice: "s", Class: class}); k != nil {
+			if k, v := g.Admit(time.Hour, Request{Client: "c", Slice: "s", Class: class}); k != nil {
 				out = append(out, class)
 				g.Done(time.Hour, k, Served)
-			} else if v.Why != Memory || v.After <= 0 {
+			} else if v.Reason != MemoryShort || v.RetryAfter <= 0 {
 				t.Errorf("class %d: %+v", class, v)
 			}
 		}
@@ -195,7 +195,7 @@
 			class = 0
 		}
 		asked[class]++
-		if s.arrive(Ask{Client: fmt.Sprint(class, n/20%20), Slice: "s", Class: class}) == Taken {
+		if s.arrive(Request{Client: fmt.Sprint(class, n/20%20), Slice: "s", Class: class}) == Admitted {
 			taken[class]++
 		}
 		s.now += 500 * time.Microsecond
@@ -213,19 +213,19 @@
 		return out
 	}
 	for i := range 40 {
-		g.Looped(time.Hour+time.Duration(i)*10*ms, 15*ms+time.Duration(i%2)*time.Second)
+		g.ObserveLoopDelay(time.Hour+time.Duration(i)*10*ms, 15*ms+time.Duration(i%2)*time.Second)
 	}
 	if got := shed(); len(got) != 0 {
 		t.Errorf("a loop that is late intermittently sheds %v", got)
 	}
 	for i := range 12 {
-		g.Looped(2*time.Hour+time.Duration(i)*10*ms, 30*ms)
+		g.ObserveLoopDelay(2*time.Hour+time.Duration(i)*10*ms, 30*ms)
 	}
 	if got := shed(); fmt.Sprint(got) != "[3]" {
 		t.Errorf("a loop that was late for a whole window sheds %v", got)
 	}
 	for i := range 200 {
-		g.Looped(3*time.Hour+time.Duration(i)*10*ms, 0)
+		g.ObserveLoopDelay(3*time.Hour+time.Duration(i)*10*ms, 0)
 	}
 	if got := shed(); len(got) != 0 {
 		t.Errorf("a loop that is in time again sheds %v", got)
@@ -238,11 +238,11 @@
 	now, taken := time.Hour, 0
 	for n := range 2000 {
 		for attempt := range 3 {
-			ticket, v := g.Arrive(now, Ask{Client: "c", Slice: "s", Attempt: attempt})
-			if attempt > 0 && v.Why == Taken {
+			ticket, v := g.Admit(now, Request{Client: "c", Slice: "s", Attempt: attempt})
+			if attempt > 0 && v.Reason == Admitted {
 				taken++
 			}
-			if v.Why != Taken && (v.Why != Retried || !v.NoRetry || v.After <= 0) {
+			if v.Reason != Admitted && (v.Reason != RetryBudgetSpent || !v.NoRetry || v.RetryAfter <= 0) {
 				t.Fatalf("request %d: %+v", n, v)
 			}
 			if ticket != nil {
@@ -261,14 +261,14 @@
 	g := gate(t, config())
 	now := time.Hour
 	for range 500 {
-		ticket, v := g.Arrive(now, Ask{Client: "c", Slice: "gone", Class: 2})
-		if v.Why != Taken {
+		ticket, v := g.Admit(now, Request{Client: "c", Slice: "gone", Class: 2})
+		if v.Reason != Admitted {
 			t.Fatalf("%+v", v)
 		}
 		g.Done(now+500*ms, ticket, Refused)
 		now += 10 * ms
 	}
-	if p := g.pools[poolKey{"gone", true}]; p.limit < float64(g.cfg.Start) {
+	if p := g.pools[poolKey{"gone", true}]; p.limit < float64(g.cfg.InitialLimit) {
 		t.Errorf("the limit fell to %.0f", p.limit)
 	}
 }
@@ -278,7 +278,7 @@
 func TestAccounting(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		cfg := config()
-		cfg.MaxOpen, cfg.MaxBytes, cfg.Start, cfg.Least = 40, 2000, 16, 2
+		cfg.MaxOpen, cfg.MaxBytes, cfg.InitialLimit, cfg.MinLimit = 40, 2000, 16, 2
 		g, err := New(cfg, rapid.Uint64().Draw(t, "seed"))
 		if err != nil {
 			t.Fatal(err)
@@ -289,21 +289,21 @@
 			now += time.Duration(rapid.IntRange(0, 50).Draw(t, "gap")) * ms
 			if len(inFlight) > 0 && rapid.Bool().Draw(t, "done") {
 				i := rapid.IntRange(0, len(inFlight)-1).Draw(t, "which")
-				g.Done(now, inFlight[i], End(rapid.IntRange(0, 2).Draw(t, "end")))
+				g.Done(now, inFlight[i], Result(rapid.IntRange(0, 2).Draw(t, "end")))
 				g.Done(now, inFlight[i], Served) // a second call has no effect
 				inFlight = append(inFlight[:i], inFlight[i+1:]...)
 			} else {
-				a := Ask{Client: fmt.Sprint(rapid.IntRange(0, 3).Draw(t, "client")), Slice: fmt.Sprint(rapid.IntRange(0, 2).Draw(t, "slice")),
+				a := Request{Client: fmt.Sprint(rapid.IntRange(0, 3).Draw(t, "client")), Slice: fmt.Sprint(rapid.IntRange(0, 2).Draw(t, "slice")),
 					Class: rapid.IntRange(0, 3).Draw(t, "class"), Bytes: rapid.IntRange(0, 300).Draw(t, "bytes"), Attempt: rapid.IntRange(0, 1).Draw(t, "attempt")}
-				ticket, v := g.Arrive(now, a)
-				if (ticket != nil) != (v.Why == Taken) || v.Why != Taken && (v.After < minRetryAfter || v.After > cfg.MaxAdvice) {
+				ticket, v := g.Admit(now, a)
+				if (ticket != nil) != (v.Reason == Admitted) || v.Reason != Admitted && (v.RetryAfter < minRetryAfter || v.RetryAfter > cfg.MaxRetryAfter) {
 					t.Fatalf("%+v, %+v", ticket, v)
 				}
 				if ticket != nil {
 					inFlight = append(inFlight, ticket)
 				}
 			}
-			g.Looped(now, time.Duration(rapid.IntRange(0, 40).Draw(t, "waited"))*ms)
+			g.ObserveLoopDelay(now, time.Duration(rapid.IntRange(0, 40).Draw(t, "waited"))*ms)
 			if st := g.Stats(); st.Open != len(inFlight) || st.Open > cfg.MaxOpen || st.Bytes > cfg.MaxBytes {
 				t.Fatalf("%+v with %d requests in flight", st, len(inFlight))
 			}
@@ -312,7 +312,7 @@
 			g.Done(now, ticket, Other)
 		}
 		for key, p := range g.pools {
-			if p.inFlight != 0 || len(p.clients) != 0 || p.limit < float64(cfg.Least) {
+			if p.inFlight != 0 || len(p.clients) != 0 || p.limit < float64(cfg.MinLimit) {
 				t.Fatalf("%v: %+v", key, p)
 			}
 		}
@@ -325,7 +325,7 @@
 func TestUnknownSlicesAreBounded(t *testing.T) {
 	g := gate(t, config())
 	for i := range 3 * maxPools {
-		if ticket, _ := g.Arrive(time.Hour, Ask{Slice: fmt.Sprint(i)}); ticket != nil {
+		if ticket, _ := g.Admit(time.Hour, Request{Slice: fmt.Sprint(i)}); ticket != nil {
 			g.Done(time.Hour, ticket, Other)
 		}
 	}
@@ -337,13 +337,13 @@
 // BenchmarkRefuse measures the cost of a refusal.
 func BenchmarkRefuse(b *testing.B) {
 	cfg := config()
-	cfg.Start, cfg.Fixed = 8, true
+	cfg.InitialLimit, cfg.FixedLimit = 8, true
 	g := gate(b, cfg)
 	for range 8 {
-		g.Arrive(time.Hour, Ask{Slice: "s"})
+		g.Admit(time.Hour, Request{Slice: "s"})
 	}
 	for b.Loop() {
-		if _, v := g.Arrive(time.Hour, Ask{Slice: "s", Client: "c"}); v.Why == Taken {
+		if _, v := g.Admit(time.Hour, Request{Slice: "s", Client: "c"}); v.Reason == Admitted {
 			b.Fatal("taken")
 		}
 	}
@@ -356,19 +356,19 @@
 	now := time.Hour
 	var burst []*Ticket
 	for range 40 {
-		ticket, _ := g.Arrive(now, Ask{Slice: "s"})
+		ticket, _ := g.Admit(now, Request{Slice: "s"})
 		burst = append(burst, ticket)
 	}
 	for _, ticket := range burst {
 		g.Done(now+10*ms, ticket, Served)
 	}
 	after := g.pools[poolKey{"s", false}].limit
-	if after <= float64(g.cfg.Start) {
+	if after <= float64(g.cfg.InitialLimit) {
 		t.Errorf("the limit stays at %.1f although it is in use", after)
 	}
 	for range 10_000 {
 		now += 20 * ms
-		ticket, _ := g.Arrive(now, Ask{Slice: "s"})
+		ticket, _ := g.Admit(now, Request{Slice: "s"})
 		g.Done(now+10*ms, ticket, Served)
 	}
 	if got := g.pools[poolKey{"s", false}].limit; got > after+1 {
--- a/causalcache/cache.go
+++ b/causalcache/cache.go
@@ -100,7 +100,7 @@
 	}
 	for _, id := range ids {
 		// An unknown LSN requires the present; have does not cover it even if equal.
-		if required, any := n.PositionByID(id); any && (required.LSN == position.Unknown || !have.Place(id).Covers(required)) {
+		if required, any := n.PositionByID(id); any && (required.LSN == position.UnknownLSN || !have.Place(id).Covers(required)) {
 			return false
 		}
 	}
--- a/causalcache/cache_test.go
+++ b/causalcache/cache_test.go
@@ -117,7 +117,7 @@
 
 // TestUnknownPositionIsNotIncluded: a token with an unknown LSN requires the present, so no cached answer includes it.
 func TestUnknownPositionIsNotIncluded(t *testing.T) {
-	unknown := token.ParseBag(token.Token{}.With("news", position.Position{Timeline: 1, LSN: position.Unknown}).String())
+	unknown := token.ParseBag(token.Token{}.With("news", position.Position{Timeline: 1, LSN: position.UnknownLSN}).String())
 	if includes(tokenAt("news", 3), unknown, "news") {
 		t.Error("a cached answer counts as including the present")
 	}
--- a/cmd/umberladder/explore.go
+++ b/cmd/umberladder/explore.go
@@ -56,7 +56,7 @@
 			complete = ", complete"
 		}
 		fmt.Fprintf(w, "%d clients, %d nodes: %d states, %d transitions, depth %d%s, %d endings, %v\n", cfg.Clients, cfg.Nodes, r.States, r.Transitions, r.Depth, complete, r.Endings, r.Elapsed.Round(time.Millisecond))
-		fmt.Fprintf(w, "new states by depth: %v\nseen: %s\n%d of %d moves of connections and attempts were made\n", r.ByDepth, strings.Join(r.Seen, ", "), r.LifecycleTransitions, len(driver.Moves()))
+		fmt.Fprintf(w, "new states by depth: %v\nseen: %s\n%d of %d moves of connections and attempts were made\n", r.ByDepth, strings.Join(r.Seen, ", "), r.LifecycleTransitions, len(driver.LegalTransitions()))
 		n := len(r.Violations)
 		if n > 0 {
 			if err := replayViolation(cmd, cfg, r.Violations[0], write); err != nil {
--- a/cmd/umberladder/inventory.go
+++ b/cmd/umberladder/inventory.go
@@ -137,7 +137,7 @@
 		steps := membership.Diff(cfg, a, b)
 		t := tabwriter.NewWriter(cmd.OutOrStdout(), 0, 4, 2, ' ', 0)
 		for _, s := range steps {
-			fmt.Fprintf(t, "%s\t%s\t%s\t%s\n", s.What, s.Slice, s.Node, s.Note)
+			fmt.Fprintf(t, "%s\t%s\t%s\t%s\n", s.Action, s.Slice, s.Node, s.Note)
 		}
 		if len(steps) == 0 {
 			fmt.Fprintln(t, "nothing changes")
--- a/driver/bench_test.go
+++ b/driver/bench_test.go
@@ -24,7 +24,7 @@
 	var slices []string
 	roles := map[string]Facts{}
 	for i := range nodes {
-		n := Node{Name: fmt.Sprintf("db%d", i), Address: fmt.Sprintf("db%d:1", i), Slice: fmt.Sprintf("s%d", i/6), Hall: "a"}
+		n := Node{Name: fmt.Sprintf("db%d", i), Address: fmt.Sprintf("db%d:1", i), Slice: fmt.Sprintf("s%d", i/6), Zone: "a"}
 		roles[n.Name] = replica(at(1, 1000))
 		if i%6 == 0 {
 			roles[n.Name] = primary(at(1, 1000))
@@ -39,13 +39,13 @@
 			case CommandDial:
 				conns[c.Conn] = c.Node
 				events = append(events, Event{Kind: EventDialed, Conn: c.Conn})
-			case CommandAsk, CommandSend:
-				events = append(events, Event{Kind: EventResult, Conn: c.Conn, Result: Result{Began: true, Done: true, Facts: roles[conns[c.Conn]]}})
+			case CommandReadFacts, CommandSend:
+				events = append(events, Event{Kind: EventResult, Conn: c.Conn, Result: Result{Started: true, Done: true, Facts: roles[conns[c.Conn]]}})
 			}
 		}
 		return events
 	}
-	events := []Event{{Kind: EventList, List: balance.ListCached, Nodes: list}}
+	events := []Event{{Kind: EventNodeList, List: balance.ListCached, Nodes: list}}
 	now := time.Hour
 	for range 200 {
 		now += 5 * ms
@@ -66,7 +66,7 @@
 			var events []Event
 			for i := range b.N {
 				now += 500 * time.Microsecond // 2,000 requests/s
-				events = append(events, Event{Kind: EventRequest, Request: RequestID(i + 1), Ask: Ask{Class: classArticle + 2*(i%2),
+				events = append(events, Event{Kind: EventRequest, Request: RequestID(i + 1), Params: RequestParams{Class: classArticle + 2*(i%2),
 					Slice: slices[i%len(slices)], Token: token.Token{}, Deadline: now + time.Second}})
 				events = reply(e.Step(now, events, nil))
 			}
@@ -92,7 +92,7 @@
 		before := heap()
 		var events []Event
 		for i := range n {
-			events = append(events, Event{Kind: EventRequest, Request: RequestID(i + 1), Ask: Ask{Class: classWrite, Slice: slices[0],
+			events = append(events, Event{Kind: EventRequest, Request: RequestID(i + 1), Params: RequestParams{Class: classWrite, Slice: slices[0],
 				Session: "s", Deadline: 3 * time.Hour}})
 		}
 		cmds := e.Step(2*time.Hour, events, nil)
@@ -115,17 +115,17 @@
 			now := 2 * time.Hour
 			var events []Event
 			for i := range c.held {
-				events = append(events, Event{Kind: EventRequest, Request: RequestID(1<<40 + i), Ask: Ask{Class: classWrite, Slice: "idle", Deadline: 9 * time.Hour}})
+				events = append(events, Event{Kind: EventRequest, Request: RequestID(1<<40 + i), Params: RequestParams{Class: classWrite, Slice: "idle", Deadline: 9 * time.Hour}})
 			}
 			if c.held > 0 {
-				e.Step(now, []Event{{Kind: EventList, List: balance.ListDelta, Nodes: []Node{{Name: "x", Address: "x:1", Slice: "idle", Hall: "a"}}}}, nil)
+				e.Step(now, []Event{{Kind: EventNodeList, List: balance.ListDelta, Nodes: []Node{{Name: "x", Address: "x:1", Slice: "idle", Zone: "a"}}}}, nil)
 			}
 			events = reply(e.Step(now, events, nil))
 			b.ReportAllocs()
 			b.ResetTimer()
 			for i := range b.N {
 				now += 20 * time.Microsecond // so short that few polls are due, which would be extra work
-				events = append(events, Event{Kind: EventRequest, Request: RequestID(i + 1), Ask: Ask{Class: classArticle + 2*(i%2),
+				events = append(events, Event{Kind: EventRequest, Request: RequestID(i + 1), Params: RequestParams{Class: classArticle + 2*(i%2),
 					Slice: slices[i%len(slices)], Token: token.Token{}, Deadline: now + time.Second}})
 				events = reply(e.Step(now, events, nil))
 			}
--- a/driver/conns.go
+++ b/driver/conns.go
@@ -441,7 +441,7 @@
 	if r.Facts.Known {
 		e.recordFacts(c.node, r.Facts, c.sentAt, c.isProber)
 	}
-	if r.End != EndAnswered || r.Guarded || r.Err != nil && r.Err.Code == codeReadOnlyTransaction {
+	if r.End != EndAnswered || r.GuardFailed || r.Err != nil && r.Err.Code == codeReadOnlyTransaction {
 		e.suspectPrimaryAt(c.node)
 	}
 	if c.isProber {
@@ -463,7 +463,7 @@
 // settleAttempt ends an attempt by its result, and its request if the result is the answer. It guards against
 // stale reads: rows from a node that proves to be behind the request's need count as a miss.
 func (e *Engine) settleAttempt(a *attempt, r *Result, sentAt time.Duration) {
-	q, v := a.request, Judge(r)
+	q, v := a.request, Classify(r)
 	if q.class.Need == balance.NeedWrite && a.node.blocked() && (r.Done || v.Outcome == balance.OutcomeCancelled) {
 		v = Classification{Outcome: balance.OutcomeReset} // its work was revoked at a deposed primary, or committed on an abandoned timeline
 	}
@@ -496,7 +496,7 @@
 }
 
 // observedPosition returns a position that covers what an answer shows or did. If its node did not report one, LSN
-// is position.Unknown: later reads then require the latest position, until a promotion or a read at the primary
+// is position.UnknownLSN: later reads then require the latest position, until a promotion or a read at the primary
 // yields a known one.
 func (q *request) observedPosition(r *Result) position.Position {
 	switch write := q.class.Need == balance.NeedWrite; {
@@ -507,7 +507,7 @@
 	case r.Err != nil:
 		return position.Position{} // the statement failed: it changed nothing and returned no rows
 	}
-	return position.Position{Timeline: max(1, q.slice.clock.Timeline()), LSN: position.Unknown}
+	return position.Position{Timeline: max(1, q.slice.clock.Timeline()), LSN: position.UnknownLSN}
 }
 
 func (e *Engine) buildAnswer(q *request, a *attempt, r *Result, at position.Position) Answer {
@@ -516,17 +516,17 @@
 		holds = holds.With(q.ask.Slice, r.Facts.LowerBound())
 	}
 	switch {
-	case q.need.LSN != position.Unknown:
+	case q.need.LSN != position.UnknownLSN:
 		at = at.Join(q.need)
 	case q.class.Need == balance.NeedWrite: // the write's position replaces an unknown one, but not transactions seen at a replica
 		at.Transactions = at.Transactions.Union(q.need.Transactions)
 	} // else the read showed everything behind the unknown position, and its own position says more
 	tok := e.prunedToken(q.ask.Token, q.slice)
-	if q.ask.Lost {
+	if q.ask.TokenLost {
 		tok = tok.WithPresent() // the lost token may be for any slice; for this slice the answer settles it
 	}
-	return Answer{Status: Served, Token: tok.With(q.ask.Slice, at), Holds: holds, Node: a.node.entry.Name,
-		Hall: a.node.entry.Hall, Facts: r.Facts, Payload: r.Payload, Attempts: len(q.attempts)}
+	return Answer{Status: Served, Token: tok.With(q.ask.Slice, at), LowerBound: holds, Node: a.node.entry.Name,
+		Zone: a.node.entry.Zone, Facts: r.Facts, Payload: r.Payload, Attempts: len(q.attempts)}
 }
 
 // handleStreamStart decides whether a streamed answer may begin. It guards against stale rows: if the node is
@@ -550,5 +550,5 @@
 	}
 	a.streaming = true
 	e.notifyRouter(balance.Event{Kind: balance.EventStreaming, Request: q.id, Attempt: a.number, Server: a.node.id, Age: e.now - a.startedAt})
-	e.cmds = append(e.cmds, Command{Kind: CommandOpen, Conn: c.id, Request: q.id, Answer: e.buildAnswer(q, a, r, r.Facts.Position)}) // the token comes with the end of the stream
+	e.cmds = append(e.cmds, Command{Kind: CommandStartStream, Conn: c.id, Request: q.id, Answer: e.buildAnswer(q, a, r, r.Facts.Position)}) // the token comes with the end of the stream
 }
--- a/driver/engine.go
+++ b/driver/engine.go
@@ -19,23 +19,23 @@
 // Config configures an Engine. New returns an error if PoolSize, MaxOpen, IdleClose, PollTimeout or
 // Router.DialTimeout is not positive, or AnswerMargin is negative.
 type Config struct {
-	Router         balance.Config
-	Halls          []string      // names of availability zones; the index of a name is the router's zone number
-	DriverSessions bool          // track sessions in this driver too, besides the clients' tokens
-	SessionBytes   int           // memory limit for tracked sessions, in bytes
-	Sessions       *SessionState // tracked sessions of an earlier run, nil for none
-	SessionsWhole  bool          // Sessions covers every answer of the earlier run, or there was no earlier run
-	MaxOpen        int           // most requests open at once
-	PoolSize       int           // most connections to one node
-	IdleClose      time.Duration
-	Linger         time.Duration // how long a connection stays open for an answer that nobody awaits
-	PollTimeout    time.Duration
-	ClockAge       time.Duration   // a poll of a replica polls the primary too if the primary's position is older than this
-	Tokenless      []Tokenless     // by class: policy for a session read without a token
-	StartWithin    time.Duration   // a write that its node has not started within this time must not start; 0 for no limit
-	Topology       *topology.State // topology of an earlier run, nil for none
-	AnswerMargin   time.Duration   // the router's deadline is earlier than the client's by this much
-	CancelWork     bool            // cancel at the node safe work that nobody awaits
+	Router           balance.Config
+	Zones            []string      // names of availability zones; the index of a name is the router's zone number
+	DriverSessions   bool          // track sessions in this driver too, besides the clients' tokens
+	SessionBytes     int           // memory limit for tracked sessions, in bytes
+	Sessions         *SessionState // tracked sessions of an earlier run, nil for none
+	SessionsComplete bool          // Sessions covers every answer of the earlier run, or there was no earlier run
+	MaxOpen          int           // most requests open at once
+	PoolSize         int           // most connections to one node
+	IdleClose        time.Duration
+	Linger           time.Duration // how long a connection stays open for an answer that nobody awaits
+	PollTimeout      time.Duration
+	ClockAge         time.Duration        // a poll of a replica polls the primary too if the primary's position is older than this
+	MissingToken     []MissingTokenPolicy // by class: policy for a session read without a token
+	StartWithin      time.Duration        // a write that its node has not started within this time must not start; 0 for no limit
+	Topology         *topology.State      // topology of an earlier run, nil for none
+	AnswerMargin     time.Duration        // the router's deadline is earlier than the client's by this much
+	CancelWork       bool                 // cancel at the node safe work that nobody awaits
 }
 
 func (c *Config) check() error {
@@ -52,14 +52,14 @@
 	return nil
 }
 
-// Tokenless is the policy for a session read that comes without its token.
-type Tokenless uint8
+// MissingTokenPolicy is the policy for a session read that comes without its token.
+type MissingTokenPolicy uint8
 
 // The policies for a read without its token.
 const (
-	TokenlessAccept  Tokenless = iota // treat the session as one without writes
-	TokenlessPrimary                  // require the latest position, as at the primary
-	TokenlessRefuse                   // refuse the request
+	MissingTokenAccept  MissingTokenPolicy = iota // treat the session as one without writes
+	MissingTokenPrimary                           // require the latest position, as at the primary
+	MissingTokenRefuse                            // refuse the request
 )
 
 // Engine is the state of one driver. It is not safe for concurrent use. It reads no clock, starts no goroutine and
@@ -110,7 +110,7 @@
 // request is one client request. It is kept until it has its final answer and no attempt is in flight.
 type request struct {
 	id        RequestID
-	ask       Ask
+	ask       RequestParams
 	class     *balance.Class
 	slice     *slice
 	need      position.Position // position that a read must see; zero for none
@@ -136,14 +136,14 @@
 		byKey: map[nodeKey]*node{}, conns: map[ConnID]*conn{}, slices: map[string]*slice{}, byToken: map[token.SliceID][]*slice{}, rng: rand.New(rand.NewPCG(seed, 0x746f706f))}
 	e.rounds = rounds.Rounds{Router: router, Timers: &e.timers, Act: e.execute, MaxRounds: maxRounds, Pause: cfg.Router.MinBatchInterval}
 	e.sessions = newSessions(cfg.SessionBytes)
-	e.sessions.lift = func(name string, since time.Duration) (position.Position, bool) {
+	e.sessions.reportedAfter = func(name string, since time.Duration) (position.Position, bool) {
 		s := e.slices[name]
 		if s == nil {
 			return position.Position{}, false
 		}
-		return s.clock.After(since)
+		return s.clock.PositionAfter(since)
 	}
-	e.sessions.passed = func(name string, at position.Position) bool {
+	e.sessions.passedByAll = func(name string, at position.Position) bool {
 		return e.slices[name] != nil && e.allReached(e.slices[name], at)
 	}
 	return e, nil
@@ -173,9 +173,9 @@
 // Conns returns the number of connections, including those being opened.
 func (e *Engine) Conns() int { return len(e.conns) }
 
-// Wake returns the time of the next timer, at which Step must be called even without events; false if no timer is
+// NextTimer returns the time of the next timer, at which Step must be called even without events; false if no timer is
 // set.
-func (e *Engine) Wake() (time.Duration, bool) { return e.timers.Next() }
+func (e *Engine) NextTimer() (time.Duration, bool) { return e.timers.Next() }
 
 // Step handles the events since the last call, all at the time now, and appends the resulting commands to cmds in
 // order. The clock is monotonic: a now before the latest one counts as the latest. Its zero must lie further in
@@ -192,7 +192,7 @@
 
 func (e *Engine) step(now time.Duration, events []Event, cmds []Command, late bool) []Command {
 	if e.now == 0 {
-		e.sessions.restore(e.cfg.Sessions, e.cfg.SessionsWhole, now)
+		e.sessions.restore(e.cfg.Sessions, e.cfg.SessionsComplete, now)
 		e.cfg.Sessions = nil
 	}
 	e.now, e.cmds = max(now, e.now), cmds
@@ -219,17 +219,17 @@
 	switch ev.Kind {
 	case EventRequest:
 		e.handleRequest(ev)
-	case EventLeft:
+	case EventClientLeft:
 		e.handleClientLeft(ev.Request)
 	case EventDialed:
 		e.handleDialed(e.conns[ev.Conn], ev.Dial)
 	case EventResult:
 		e.handleResult(e.conns[ev.Conn], &ev.Result)
-	case EventOpened:
+	case EventStreamStarted:
 		e.handleStreamStart(e.conns[ev.Conn], &ev.Result)
 	case EventClosed:
 		e.handleClosed(e.conns[ev.Conn])
-	case EventList:
+	case EventNodeList:
 		e.handleList(ev)
 	case EventStop:
 		e.handleStop(ev.Until)
@@ -268,11 +268,11 @@
 	if e.requests[ev.Request] != nil {
 		return
 	}
-	if cause := e.rejectCause(&ev.Ask); cause != CauseNone {
+	if cause := e.rejectCause(&ev.Params); cause != CauseNone {
 		e.cmds = append(e.cmds, Command{Kind: CommandAnswer, Request: ev.Request, Answer: Answer{Status: Refused, Cause: cause}})
 		return
 	}
-	q := &request{id: ev.Request, ask: ev.Ask, class: &e.cfg.Router.Classes[ev.Ask.Class], slice: e.slices[ev.Ask.Slice]}
+	q := &request{id: ev.Request, ask: ev.Params, class: &e.cfg.Router.Classes[ev.Params.Class], slice: e.slices[ev.Params.Slice]}
 	if cause := e.resolveNeed(q); cause != CauseNone {
 		e.cmds = append(e.cmds, Command{Kind: CommandAnswer, Request: ev.Request, Answer: Answer{Status: Refused, Cause: cause}})
 		return
@@ -296,7 +296,7 @@
 // not see their session's writes.
 func (e *Engine) resolveNeed(q *request) Cause {
 	if e.isForeign(q.ask.Token) {
-		return CauseForeign
+		return CauseForeignToken
 	}
 	need, named := q.ask.Token.At(q.ask.Slice)
 	if e.cfg.DriverSessions && q.ask.Session != "" {
@@ -304,11 +304,11 @@
 		need, named = need.Join(at), named || !at.IsZero()
 	}
 	asked := need
-	if q.class.Need == balance.NeedSession && (!named || q.ask.Lost) {
+	if q.class.Need == balance.NeedSession && (!named || q.ask.TokenLost) {
 		switch policy := e.tokenless(q.ask.Class); {
-		case policy == TokenlessRefuse:
-			return CauseTokenless
-		case policy == TokenlessPrimary || q.ask.Lost:
+		case policy == MissingTokenRefuse:
+			return CauseTokenMissing
+		case policy == MissingTokenPrimary || q.ask.TokenLost:
 			need = position.Present
 		}
 	}
@@ -319,11 +319,11 @@
 	return CauseNone
 }
 
-func (e *Engine) tokenless(class int) Tokenless {
-	if class < len(e.cfg.Tokenless) {
-		return e.cfg.Tokenless[class]
+func (e *Engine) tokenless(class int) MissingTokenPolicy {
+	if class < len(e.cfg.MissingToken) {
+		return e.cfg.MissingToken[class]
 	}
-	return TokenlessAccept
+	return MissingTokenAccept
 }
 
 // isForeign reports whether a token names slices, but none that this driver knows.
@@ -337,7 +337,7 @@
 // would be retried until its deadline.
 func (q *request) unservable(n *node, f Facts) Cause {
 	switch {
-	case q.done || !f.Known || f.Replica || q.tokenNeed.LSN == position.Unknown || n.deposed(f):
+	case q.done || !f.Known || f.Replica || q.tokenNeed.LSN == position.UnknownLSN || n.deposed(f):
 		return CauseNone
 	case q.slice.clock.Lost(q.tokenNeed):
 		return CauseTokenLost
@@ -367,7 +367,7 @@
 // prunable reports whether a position is old and all nodes have passed it. If it were dropped earlier, a replica that
 // lags could serve a stale read.
 func (e *Engine) prunable(s *slice, at position.Position) bool {
-	if at.LSN == position.Unknown || at.Timeline != s.clock.Timeline() {
+	if at.LSN == position.UnknownLSN || at.Timeline != s.clock.Timeline() {
 		return false
 	}
 	by, ok := s.clock.CommittedBy(at)
@@ -386,7 +386,7 @@
 
 // rejectCause returns why a request is not accepted, CauseNone if it is: shutdown, an unknown class or slice, or
 // more than Config.MaxOpen open requests.
-func (e *Engine) rejectCause(a *Ask) Cause {
+func (e *Engine) rejectCause(a *RequestParams) Cause {
 	switch {
 	case e.stopBy > 0:
 		return CauseStopping
@@ -519,7 +519,7 @@
 			known.leavingSince = e.now
 		}
 		entries = append(entries, balance.Entry{Server: known.id, Group: known.slice.group,
-			Zone: max(0, slices.Index(e.cfg.Halls, n.Hall)), Life: n.Life, Started: n.Started})
+			Zone: max(0, slices.Index(e.cfg.Zones, n.Zone)), Life: n.Life, Started: n.Started})
 	}
 	for _, n := range e.nodes {
 		if ev.List != balance.ListDelta && !seen[n.id] {
--- a/driver/engine_test.go
+++ b/driver/engine_test.go
@@ -75,10 +75,10 @@
 func TestCommitWithoutPosition(t *testing.T) {
 	r := newHarness(t, testConfig(), fleetFacts())
 	w := r.request(classWrite, token.Token{})
-	r.result(r.sent(w), Result{End: EndBroken, Began: true, Done: true})
+	r.result(r.sent(w), Result{End: EndBroken, Started: true, Done: true})
 	a := r.answer(w)
 	got, _ := a.Token.At("news")
-	if a.Status != Served || got.LSN != position.Unknown {
+	if a.Status != Served || got.LSN != position.UnknownLSN {
 		t.Fatalf("answer %+v, token for %v", a, got)
 	}
 	id := r.request(classOwn, a.Token)
@@ -165,7 +165,7 @@
 	r := newHarness(t, testConfig(), fleetFacts())
 	w := r.request(classWrite, token.Token{})
 	c := r.sent(w)
-	r.step(Event{Kind: EventLeft, Request: w})
+	r.step(Event{Kind: EventClientLeft, Request: w})
 	if r.e.Held() != 0 {
 		t.Error("it is still held")
 	}
@@ -181,8 +181,8 @@
 func TestClientLeavesInTheStepOfItsRequest(t *testing.T) {
 	r := newHarness(t, testConfig(), fleetFacts())
 	r.lastReq++
-	r.step(Event{Kind: EventRequest, Request: r.lastReq, Ask: Ask{Class: classWrite, Slice: "news", Session: "s",
-		Deadline: r.now + time.Second}}, Event{Kind: EventLeft, Request: r.lastReq})
+	r.step(Event{Kind: EventRequest, Request: r.lastReq, Params: RequestParams{Class: classWrite, Slice: "news", Session: "s",
+		Deadline: r.now + time.Second}}, Event{Kind: EventClientLeft, Request: r.lastReq})
 	for _, v := range r.e.rounds.Router.Views(nil) {
 		if v.Pending != 0 {
 			t.Errorf("the router counts requests at node %d: %d", v.Server, v.Pending)
@@ -202,7 +202,7 @@
 			dial.Conn = id
 		}
 	}
-	r.step(Event{Kind: EventLeft, Request: w})
+	r.step(Event{Kind: EventClientLeft, Request: w})
 	r.step(Event{Kind: EventDialed, Conn: dial.Conn})
 	if r.isSent(w) {
 		t.Error("it was sent after its client left")
@@ -272,7 +272,7 @@
 	r := newHarness(t, testConfig(), fleetFacts())
 	id := r.request(classArticle, token.Token{})
 	c := r.sent(id)
-	r.result(c, Result{Began: true, Done: true, Facts: replica(at(1, 10))})
+	r.result(c, Result{Started: true, Done: true, Facts: replica(at(1, 10))})
 	if len(r.answers[id]) > 0 && r.answers[id][0].Status == Served {
 		t.Fatal("it was served")
 	}
@@ -330,7 +330,7 @@
 
 func TestUnknownSlice(t *testing.T) {
 	r := newHarness(t, testConfig(), fleetFacts())
-	r.step(Event{Kind: EventRequest, Request: 77, Ask: Ask{Slice: "olds", Deadline: r.now + time.Second}})
+	r.step(Event{Kind: EventRequest, Request: 77, Params: RequestParams{Slice: "olds", Deadline: r.now + time.Second}})
 	if a := r.answer(77); a.Status != Refused || a.Cause != CauseSlice {
 		t.Errorf("answer %+v", a)
 	}
@@ -341,7 +341,7 @@
 	r := newHarness(t, testConfig(), fleetFacts())
 	id := r.request(classStats, token.Token{})
 	c := r.sent(id)
-	r.step(Event{Kind: EventOpened, Conn: c.Conn, Result: Result{Facts: r.nodes[c.Node].facts}})
+	r.step(Event{Kind: EventStreamStarted, Conn: c.Conn, Result: Result{Facts: r.nodes[c.Node].facts}})
 	r.run(3 * time.Second) // neither the time limit nor the deadline ends a stream
 	if len(r.answers[id]) != 0 {
 		t.Fatalf("answered during its stream: %+v", r.answers[id])
@@ -358,8 +358,8 @@
 	r := newHarness(t, testConfig(), fleetFacts())
 	id := r.request(classStats, token.Token{})
 	c := r.sent(id)
-	r.step(Event{Kind: EventOpened, Conn: c.Conn, Result: Result{Facts: r.nodes[c.Node].facts}})
-	r.step(Event{Kind: EventLeft, Request: id})
+	r.step(Event{Kind: EventStreamStarted, Conn: c.Conn, Result: Result{Facts: r.nodes[c.Node].facts}})
+	r.step(Event{Kind: EventClientLeft, Request: id})
 	if r.e.conns[c.Conn] != nil {
 		t.Error("the connection is still there")
 	}
@@ -396,7 +396,7 @@
 // TestDriverSessions: without tokens, a session's reads see what the session wrote through this driver.
 func TestDriverSessions(t *testing.T) {
 	cfg := testConfig()
-	cfg.DriverSessions, cfg.SessionBytes, cfg.SessionsWhole = true, 1<<20, true
+	cfg.DriverSessions, cfg.SessionBytes, cfg.SessionsComplete = true, 1<<20, true
 	r := newHarness(t, cfg, fleetFacts())
 	w := r.request(classWrite, token.Token{})
 	r.nodes["p"].facts = primary(at(1, 1100))
@@ -411,8 +411,8 @@
 
 func newTestSessions(maxBytes int) *sessions {
 	s := newSessions(maxBytes)
-	s.lift = func(string, time.Duration) (position.Position, bool) { return position.Position{}, false }
-	s.passed = func(string, position.Position) bool { return false }
+	s.reportedAfter = func(string, time.Duration) (position.Position, bool) { return position.Position{}, false }
+	s.passedByAll = func(string, position.Position) bool { return false }
 	return s
 }
 
@@ -440,7 +440,7 @@
 // TestSessionsThatAllNodesPassed: evicting such a session raises no floor.
 func TestSessionsThatAllNodesPassed(t *testing.T) {
 	s := newTestSessions(1)
-	s.passed = func(string, position.Position) bool { return true }
+	s.passedByAll = func(string, position.Position) bool { return true }
 	s.observe("news", "a", at(1, 5), 1)
 	if got := s.required("news", "b"); !got.IsZero() {
 		t.Errorf("requires %v", got)
@@ -451,7 +451,7 @@
 // requires the latest position until the primary has reported one, and positions in an incomplete state still apply.
 func TestSnapshotOfSessions(t *testing.T) {
 	cfg := testConfig()
-	cfg.DriverSessions, cfg.SessionBytes, cfg.SessionsWhole = true, 1<<20, true
+	cfg.DriverSessions, cfg.SessionBytes, cfg.SessionsComplete = true, 1<<20, true
 	r := newHarness(t, cfg, fleetFacts())
 	w := r.request(classWrite, token.Token{})
 	r.nodes["p"].facts = primary(at(1, 1100))
@@ -463,7 +463,7 @@
 	if c := next.sent(id); c.Node != "p" {
 		t.Errorf("after a complete snapshot the session's read went to %s", c.Node)
 	}
-	cfg.Sessions, cfg.SessionsWhole = nil, false
+	cfg.Sessions, cfg.SessionsComplete = nil, false
 	guarded := newHarness(t, cfg, map[string]Facts{"p": primary(at(1, 1200)), "r1": replica(at(1, 1050)), "r2": replica(at(1, 1050))})
 	id = guarded.request(classOwn, token.Token{})
 	guarded.run(100 * ms)
@@ -482,23 +482,23 @@
 // TestWithoutToken: a read without a token is treated by its class's policy, and one whose token was lost in
 // transit at least as strictly as by requiring the latest position.
 func TestWithoutToken(t *testing.T) {
-	for policy, want := range map[Tokenless]string{TokenlessAccept: "replica", TokenlessPrimary: "p", TokenlessRefuse: "refused"} {
+	for policy, want := range map[MissingTokenPolicy]string{MissingTokenAccept: "replica", MissingTokenPrimary: "p", MissingTokenRefuse: "refused"} {
 		for _, lost := range []bool{false, true} {
 			cfg := testConfig()
-			cfg.Tokenless = []Tokenless{classOwn: policy}
+			cfg.MissingToken = []MissingTokenPolicy{classOwn: policy}
 			r := newHarness(t, cfg, fleetFacts())
-			r.step(Event{Kind: EventRequest, Request: 500, Ask: Ask{Class: classOwn, Slice: "news", Lost: lost, Deadline: r.now + time.Second}})
+			r.step(Event{Kind: EventRequest, Request: 500, Params: RequestParams{Class: classOwn, Slice: "news", TokenLost: lost, Deadline: r.now + time.Second}})
 			r.run(30 * ms)
 			got := "refused"
 			if r.isSent(500) {
 				if got = r.sent(500).Node; got != "p" {
 					got = "replica"
 				}
-			} else if a := r.answer(500); a.Cause != CauseTokenless {
+			} else if a := r.answer(500); a.Cause != CauseTokenMissing {
 				t.Errorf("policy %d: %+v", policy, a)
 			}
 			expect := want
-			if lost && policy == TokenlessAccept {
+			if lost && policy == MissingTokenAccept {
 				expect = "p"
 			}
 			if got != expect {
@@ -535,14 +535,14 @@
 	if a := r.answer(ahead); a.Status != Refused || a.Cause != CauseTokenAhead {
 		t.Errorf("ahead: %+v", a)
 	}
-	r.step(Event{Kind: EventRequest, Request: 700, Ask: Ask{Class: classOwn, Slice: "news", Lost: true,
+	r.step(Event{Kind: EventRequest, Request: 700, Params: RequestParams{Class: classOwn, Slice: "news", TokenLost: true,
 		Token: token.Token{}.With("news", at(2, 5000)), Deadline: r.now + time.Second}})
 	r.run(30 * ms)
 	r.reply(r.sent(700))
 	if a := r.answer(700); a.Status != Refused || a.Cause != CauseTokenAhead {
 		t.Errorf("ahead, and another lost: %+v", a)
 	}
-	if a := r.answer(r.request(classOwn, token.Token{}.With("olds", at(1, 5)))); a.Cause != CauseForeign {
+	if a := r.answer(r.request(classOwn, token.Token{}.With("olds", at(1, 5)))); a.Cause != CauseForeignToken {
 		t.Errorf("foreign: %+v", a)
 	}
 	r.checkIdle()
@@ -552,10 +552,10 @@
 // to clients.
 func TestOldPositionsAreDroppedFromTokens(t *testing.T) {
 	r := newHarness(t, testConfig(), fleetFacts())
-	list := []Node{{Name: "p", Address: "p:1", Slice: "news", Hall: "a"}, {Name: "r1", Address: "r1:1", Slice: "news", Hall: "a"},
-		{Name: "r2", Address: "r2:1", Slice: "news", Hall: "a"}, {Name: "q", Address: "q:1", Slice: "olds", Hall: "a"}}
+	list := []Node{{Name: "p", Address: "p:1", Slice: "news", Zone: "a"}, {Name: "r1", Address: "r1:1", Slice: "news", Zone: "a"},
+		{Name: "r2", Address: "r2:1", Slice: "news", Zone: "a"}, {Name: "q", Address: "q:1", Slice: "olds", Zone: "a"}}
 	r.nodes["q"] = &fakeNode{facts: primary(at(1, 1000))}
-	r.step(Event{Kind: EventList, List: balance.ListFull, Nodes: list})
+	r.step(Event{Kind: EventNodeList, List: balance.ListFull, Nodes: list})
 	r.run(time.Second)
 	both := token.Token{}.With("news", at(1, 990)).With("olds", at(1, 990))
 	for _, wait := range []time.Duration{0, 2 * minPruneAge} {
@@ -628,7 +628,7 @@
 func TestUnknownPositionAfterAPromotion(t *testing.T) {
 	facts := map[string]Facts{"p": primary(at(2, 1000)), "r1": replica(at(2, 600)), "r2": replica(at(2, 600))}
 	r := newHarness(t, testConfig(), facts)
-	tok := token.Token{}.With("news", at(1, position.Unknown))
+	tok := token.Token{}.With("news", at(1, position.UnknownLSN))
 	id := r.request(classOwn, tok)
 	r.run(50 * ms)
 	if c := r.sent(id); c.Node != "p" {
@@ -658,10 +658,10 @@
 		}
 		asked := map[string]ConnID{}
 		for len(asked) < 3 {
-			at, _ := r.e.Wake()
+			at, _ := r.e.NextTimer()
 			r.now = at
 			for _, c := range r.e.Step(r.now, nil, nil) {
-				if c.Kind == CommandAsk {
+				if c.Kind == CommandReadFacts {
 					asked[r.connAt[c.Conn]] = c.Conn
 				}
 			}
@@ -678,7 +678,7 @@
 		step(r.now, answers, nil)
 		failing := 0
 		for _, n := range r.e.Nodes() {
-			if n.Failing > 0 {
+			if n.FailingSince > 0 {
 				failing++
 			}
 		}
--- a/driver/event.go
+++ b/driver/event.go
@@ -24,7 +24,7 @@
 	Name    string
 	Address string // host:port
 	Slice   string
-	Hall    string
+	Zone    string
 	Life    balance.Life
 	// Instance distinguishes nodes that share a name and an address but count as separate nodes, as when a drain
 	// is called off: decisions made about the former instance stay final for it.
@@ -34,11 +34,11 @@
 
 // Facts is what a node reported about itself in one answer.
 type Facts struct {
-	Known    bool                  // false if it reported nothing; the other fields are then zero
-	Replica  bool                  // in recovery
-	Position position.Position     // of a primary, Transactions are those it reported as finished; none if not reported
-	Received uint64                // replica only: end of the log received, replayed or not; 0 if not reported
-	Shown    position.Transactions // replica only: transactions that may be visible there; none if not reported
+	Known        bool                  // false if it reported nothing; the other fields are then zero
+	Replica      bool                  // in recovery
+	Position     position.Position     // of a primary, Transactions are those it reported as finished; none if not reported
+	Received     uint64                // replica only: end of the log received, replayed or not; 0 if not reported
+	MaybeVisible position.Transactions // replica only: transactions that may be visible there; none if not reported
 	// Forks holds, for each older timeline, the last position that its successor kept.
 	Forks    []position.Position
 	System   uint64 // PostgreSQL's system identifier of the cluster; 0 if not reported
@@ -60,15 +60,15 @@
 
 // Result is the result of one exchange.
 type Result struct {
-	End     End
-	Began   bool          // the node started the statement: it and what follows may have run
-	Done    bool          // the statement ran and, if it writes, is committed; Err is then nil
-	Err     *pgwire.Error // the node's error, nil if none
-	Asking  bool          // Err answers the driver's own query for facts, not the statement
-	Guarded bool          // Err comes from the guard before a write: nothing ran
-	Facts   Facts         // read before a read, after a write
-	After   Facts         // read after a read: what the read saw lies at or before this position
-	Payload any           // opaque to the engine; returned with the answer
+	End          End
+	Started      bool          // the node started the statement: it and what follows may have run
+	Done         bool          // the statement ran and, if it writes, is committed; Err is then nil
+	Err          *pgwire.Error // the node's error, nil if none
+	InFactsQuery bool          // Err answers the driver's own query for facts, not the statement
+	GuardFailed  bool          // Err comes from the guard before a write: nothing ran
+	Facts        Facts         // read before a read, after a write
+	After        Facts         // read after a read: what the read saw lies at or before this position
+	Payload      any           // opaque to the engine; returned with the answer
 }
 
 // EventKind is the kind of an Event.
@@ -76,24 +76,24 @@
 
 // The kinds of event, each with the fields it uses.
 const (
-	EventRequest EventKind = iota // Request and its parameters: a client sent a request
-	EventLeft                     // Request: its client disconnected
-	EventDialed                   // Conn: it is open, or Dial says why not
-	EventResult                   // Conn, Result: its exchange ended
-	EventOpened                   // Conn, Result.Facts: the first rows of a streamed answer are there
-	EventClosed                   // Conn: it closed with no exchange in flight
-	EventList                     // List, Nodes: the node list or a change of it
-	EventStop                     // Until: accept no new requests, and answer all open ones by then
+	EventRequest       EventKind = iota // Request and its parameters: a client sent a request
+	EventClientLeft                     // Request: its client disconnected
+	EventDialed                         // Conn: it is open, or Dial says why not
+	EventResult                         // Conn, Result: its exchange ended
+	EventStreamStarted                  // Conn, Result.Facts: the first rows of a streamed answer are there
+	EventClosed                         // Conn: it closed with no exchange in flight
+	EventNodeList                       // List, Nodes: the node list or a change of it
+	EventStop                           // Until: accept no new requests, and answer all open ones by then
 )
 
-// Ask holds the parameters of a request.
-type Ask struct {
-	Class    int // index in Config.Router.Classes
-	Slice    string
-	Session  string
-	Token    token.Token
-	Lost     bool          // the client had a token that was lost in transit
-	Deadline time.Duration // when the client gives up, on the engine's clock
+// RequestParams holds the parameters of a request.
+type RequestParams struct {
+	Class     int // index in Config.Router.Classes
+	Slice     string
+	Session   string
+	Token     token.Token
+	TokenLost bool          // the client had a token that was lost in transit
+	Deadline  time.Duration // when the client gives up, on the engine's clock
 }
 
 // DialError reports why a connection could not be opened.
@@ -108,7 +108,7 @@
 	List    balance.ListKind
 	Request RequestID
 	Conn    ConnID
-	Ask     Ask
+	Params  RequestParams
 	Dial    *DialError
 	Result  Result
 	Nodes   []Node
@@ -120,16 +120,16 @@
 
 // The kinds of command.
 const (
-	CommandDial      CommandKind = iota // open Conn to Address
-	CommandSend                         // run Request on Conn; Write: read the facts after it, else before it
-	CommandAsk                          // read the facts alone on Conn
-	CommandCancel                       // ask the node to cancel the statement that runs on Conn
-	CommandClose                        // close Conn, whatever is in flight on it
-	CommandOpen                         // pass the streamed answer on Conn to the client of Request
-	CommandAnswer                       // send the final answer of Request
-	CommandSubscribe                    // deliver the node list and its changes as events
-	CommandLog                          // log Text for operators
-	CommandStopped                      // after EventStop: no request is open
+	CommandDial        CommandKind = iota // open Conn to Address
+	CommandSend                           // run Request on Conn; Write: read the facts after it, else before it
+	CommandReadFacts                      // read the facts alone on Conn
+	CommandCancel                         // ask the node to cancel the statement that runs on Conn
+	CommandClose                          // close Conn, whatever is in flight on it
+	CommandStartStream                    // pass the streamed answer on Conn to the client of Request
+	CommandAnswer                         // send the final answer of Request
+	CommandSubscribe                      // deliver the node list and its changes as events
+	CommandLog                            // log Text for operators
+	CommandStopped                        // after EventStop: no request is open
 )
 
 // Status is the kind of a final answer.
@@ -150,24 +150,24 @@
 
 // The causes of a refusal or failure.
 const (
-	CauseNone         Cause = iota
-	CauseNoNode             // no node could run it before its deadline
-	CauseUncertain          // an attempt was sent and its outcome is unknown
-	CauseStreamBroken       // its streamed answer was interrupted
-	CauseStopping           // the driver is shutting down
-	CauseClass              // its class is not configured
-	CauseSlice              // its slice is not in the node list
-	CauseMaxOpen            // the driver has Config.MaxOpen requests open
-	CauseForeign            // its token names only slices that this driver does not know
-	CauseTokenless          // its class requires a token and it has none
-	CauseTokenLost          // the write that its token stands for was lost in a promotion
-	CauseTokenAhead         // its token is ahead of the slice's primary
-	CauseFull               // admission control: as many requests of its slice are in flight as can be answered in time
-	CauseShare              // admission control: its client has its share of them in flight
-	CauseBytes              // limit on the bytes of requests in this driver
-	CauseMemory             // this driver is close to its memory limit
-	CauseLate               // load shedding: the driver is late, and other requests have a higher value
-	CauseRetries            // retry budget: too many further attempts
+	CauseNone             Cause = iota
+	CauseNoNode                 // no node could run it before its deadline
+	CauseUncertain              // an attempt was sent and its outcome is unknown
+	CauseStreamBroken           // its streamed answer was interrupted
+	CauseStopping               // the driver is shutting down
+	CauseClass                  // its class is not configured
+	CauseSlice                  // its slice is not in the node list
+	CauseMaxOpen                // the driver has Config.MaxOpen requests open
+	CauseForeignToken           // its token names only slices that this driver does not know
+	CauseTokenMissing           // its class requires a token and it has none
+	CauseTokenLost              // the write that its token stands for was lost in a promotion
+	CauseTokenAhead             // its token is ahead of the slice's primary
+	CauseConcurrencyLimit       // admission control: as many requests of its slice are in flight as can be answered in time
+	CauseClientShare            // admission control: its client has its share of them in flight
+	CauseRequestBytes           // limit on the bytes of requests in this driver
+	CauseMemory                 // this driver is close to its memory limit
+	CauseOverload               // load shedding: the driver is late, and other requests have a higher value
+	CauseRetryBudget            // retry budget: too many further attempts
 )
 
 // String returns the cause as a phrase for messages to clients, "" for CauseNone.
@@ -190,9 +190,9 @@
 	Cause      Cause         // of a refusal or failure
 	RetryAfter time.Duration // advice with a refusal, 0 for none
 	Token      token.Token   // covers everything the client has seen, this answer included
-	Holds      token.Token   // of a read: the answer shows everything at or before this position; for caches
+	LowerBound token.Token   // of a read: the answer shows everything at or before this position; for caches
 	Node       string
-	Hall       string
+	Zone       string
 	Facts      Facts
 	Attempts   int
 	Payload    any
--- a/driver/facts.go
+++ b/driver/facts.go
@@ -19,7 +19,7 @@
 	e.pollPrimaryIfStale(n)
 	n.polls++
 	n.repollPause, n.pollStarted = 0, e.now
-	newest, known := n.slice.clock.Newest()
+	newest, known := n.slice.clock.LastObserved()
 	n.clockStale = !known || e.now-newest > e.cfg.ClockAge
 	poll, started := n.polls, e.now
 	// A poll that times out closes its connection: a late reply would be taken for that of the next poll.
@@ -49,7 +49,7 @@
 	if p == nil || p == n || p.pollPending || p.entry.Life != balance.LifeReady {
 		return
 	}
-	if at, ok := n.slice.clock.Newest(); !ok || e.now-at > e.cfg.ClockAge {
+	if at, ok := n.slice.clock.LastObserved(); !ok || e.now-at > e.cfg.ClockAge {
 		e.pollOnIdle(p)
 	}
 }
@@ -57,7 +57,7 @@
 func (e *Engine) sendPoll(c *conn) {
 	e.setConnState(c, busy)
 	c.sentAt = e.now
-	e.cmds = append(e.cmds, Command{Kind: CommandAsk, Conn: c.id, Node: c.node.entry.Name})
+	e.cmds = append(e.cmds, Command{Kind: CommandReadFacts, Conn: c.id, Node: c.node.entry.Name})
 	n := c.node
 	if n.pollPending {
 		return
@@ -87,7 +87,7 @@
 	if r.End == EndAnswered && e.repoll(n, r.Facts) {
 		return
 	}
-	ev := balance.Event{Outcome: Judge(r).Outcome, Age: e.now - c.sentAt}
+	ev := balance.Event{Outcome: Classify(r).Outcome, Age: e.now - c.sentAt}
 	switch {
 	case ev.Outcome != balance.OutcomeOK:
 	case r.Facts.Known:
@@ -152,13 +152,13 @@
 		return
 	}
 	for _, at := range f.Forks {
-		s.clock.Forked(at)
+		s.clock.ObserveFork(at)
 	}
 	if f.Replica {
-		s.clock.Seen(f.Position.Timeline)
+		s.clock.ObserveTimeline(f.Position.Timeline)
 		return
 	}
-	if s.clock.Primary(f.Position, sentAt, e.now) && s.primary == n {
+	if s.clock.ObservePrimary(f.Position, sentAt, e.now) && s.primary == n {
 		e.recordLoss(s, f.Position)
 	}
 }
@@ -187,7 +187,7 @@
 // pollReport converts the reply to a poll for the router. A stale primary counts as a failed node, as it may get
 // no requests and its position is no point in the slice's log.
 func (e *Engine) pollReport(n *node, f Facts, sentAt time.Duration) (balance.Outcome, balance.Report) {
-	if n.slice.topo.Standing(n.entry.Name) == topology.Rival {
+	if n.slice.topo.Status(n.entry.Name) == topology.Rival {
 		return balance.OutcomeOK, balance.Report{} // reachable, and may hold office again without a restart
 	}
 	if n.deposed(f) {
@@ -247,7 +247,7 @@
 		return true
 	case need.IsPresent():
 		return !f.Replica && visible.Transactions.Covers(need.Transactions)
-	case need.LSN == position.Unknown:
+	case need.LSN == position.UnknownLSN:
 		return !f.Replica && f.Position.Timeline >= need.Timeline && visible.Transactions.Covers(need.Transactions)
 	}
 	return visible.Covers(need)
@@ -292,7 +292,7 @@
 		at.Transactions = position.Transactions{}
 		return at
 	}
-	at.Transactions = f.Shown
+	at.Transactions = f.MaybeVisible
 	if f.Received > at.LSN {
 		at.LSN++ // the lowest position of a node that has replayed the record starting here
 	}
@@ -302,7 +302,7 @@
 // reaches is covers for a node of this slice: a replica that is proven to have entered a newer timeline has
 // everything that the older one kept, even if the needed position is unknown.
 func (s *slice) reaches(f Facts, need position.Position) bool {
-	if need.LSN == position.Unknown && !need.IsPresent() && f.Replica && f.Position.Timeline > need.Timeline {
+	if need.LSN == position.UnknownLSN && !need.IsPresent() && f.Replica && f.Position.Timeline > need.Timeline {
 		_, proven := s.clock.AppliedBy(f.Position)
 		return proven
 	}
--- a/driver/harness_test.go
+++ b/driver/harness_test.go
@@ -28,7 +28,7 @@
 			RampTime: 10 * time.Second, ColdOverloadMultiple: 3, ColdOverloadWindow: time.Second, Cancel: true, Probing: true, AttemptLimit: 10,
 			RetryAfter: true, MaxRetryAfter: time.Second, DialTimeout: 250 * ms,
 		},
-		Halls: []string{"a"}, MaxOpen: 1000, PoolSize: 8, IdleClose: 30 * time.Second, Linger: 5 * time.Second,
+		Zones: []string{"a"}, MaxOpen: 1000, PoolSize: 8, IdleClose: 30 * time.Second, Linger: 5 * time.Second,
 		PollTimeout: 250 * ms, ClockAge: 50 * ms, AnswerMargin: 20 * ms,
 	}
 }
@@ -79,10 +79,10 @@
 	for _, name := range []string{"p", "r1", "r2"} {
 		if f, ok := nodes[name]; ok {
 			r.nodes[name] = &fakeNode{facts: f}
-			list = append(list, Node{Name: name, Address: name + ":1", Slice: "news", Hall: "a"})
+			list = append(list, Node{Name: name, Address: name + ":1", Slice: "news", Zone: "a"})
 		}
 	}
-	r.step(Event{Kind: EventList, List: balance.ListCached, Nodes: list})
+	r.step(Event{Kind: EventNodeList, List: balance.ListCached, Nodes: list})
 	r.run(50 * ms)
 	return r
 }
@@ -115,7 +115,7 @@
 			if !n.unreachable {
 				r.pending = append(r.pending, Event{Kind: EventDialed, Conn: c.Conn})
 			}
-		case CommandAsk:
+		case CommandReadFacts:
 			if n := r.nodes[r.connAt[c.Conn]]; !n.silent {
 				r.pending = append(r.pending, Event{Kind: EventResult, Conn: c.Conn, Result: Result{Facts: n.facts}})
 			}
@@ -153,7 +153,7 @@
 // run advances the time by d and calls Step at each timer of the engine.
 func (r *harness) run(d time.Duration) {
 	for end := r.now + d; ; {
-		at, ok := r.e.Wake()
+		at, ok := r.e.NextTimer()
 		if !ok || at > end {
 			r.now = end
 			return
@@ -165,7 +165,7 @@
 
 func (r *harness) request(class int, tok token.Token) RequestID {
 	r.lastReq++
-	r.step(Event{Kind: EventRequest, Request: r.lastReq, Ask: Ask{Class: class, Slice: "news", Session: "s",
+	r.step(Event{Kind: EventRequest, Request: r.lastReq, Params: RequestParams{Class: class, Slice: "news", Session: "s",
 		Token: tok, Deadline: r.now + r.e.cfg.Router.Classes[class].Deadline}})
 	return r.lastReq
 }
@@ -198,7 +198,7 @@
 
 // reply ends an exchange successfully, with its node's facts.
 func (r *harness) reply(c Command) {
-	r.result(c, Result{Began: true, Done: true, Facts: r.nodes[c.Node].facts, After: r.nodes[c.Node].facts})
+	r.result(c, Result{Started: true, Done: true, Facts: r.nodes[c.Node].facts, After: r.nodes[c.Node].facts})
 }
 
 func (r *harness) answer(id RequestID) Answer {
@@ -233,7 +233,7 @@
 }
 
 func broken(began bool, code string) Result {
-	r := Result{End: EndBroken, Began: began}
+	r := Result{End: EndBroken, Started: began}
 	if code != "" {
 		r.Err = &pgwire.Error{Severity: "FATAL", Code: code, Message: "m"}
 	}
--- a/driver/life.go
+++ b/driver/life.go
@@ -6,9 +6,9 @@
 // which report every transition that is not in these tables. docs/life.md has the same tables with the cause of
 // each transition, and a test compares them.
 
-// Move is a legal transition of a connection or an attempt: Of is "connection" or "attempt", From and To are state
+// Transition is a legal transition of a connection or an attempt: Of is "connection" or "attempt", From and To are state
 // names.
-type Move struct{ Of, From, To string }
+type Transition struct{ Of, From, To string }
 
 var connStateNames = [...]string{"dialing", "idle", "busy", "lingering", "dead"}
 
@@ -26,19 +26,19 @@
 	sent:    {over: true},
 }
 
-// Moves returns all legal transitions, connections first.
-func Moves() (all []Move) {
+// LegalTransitions returns all legal transitions, connections first.
+func LegalTransitions() (all []Transition) {
 	for from := range connTransitions {
 		for to, legal := range connTransitions[from] {
 			if legal {
-				all = append(all, Move{"connection", connStateNames[from], connStateNames[to]})
+				all = append(all, Transition{"connection", connStateNames[from], connStateNames[to]})
 			}
 		}
 	}
 	for from := range attemptTransitions {
 		for to, legal := range attemptTransitions[from] {
 			if legal {
-				all = append(all, Move{"attempt", attemptStateNames[from], attemptStateNames[to]})
+				all = append(all, Transition{"attempt", attemptStateNames[from], attemptStateNames[to]})
 			}
 		}
 	}
@@ -82,32 +82,32 @@
 	e.cmds = append(e.cmds, Command{Kind: CommandLog, Text: text + "; please report it"})
 }
 
-// Illegal returns descriptions of the first illegal transitions, ten at most; nil if there were none.
-func (e *Engine) Illegal() []string { return e.life.illegal }
+// IllegalTransitions returns descriptions of the first illegal transitions, ten at most; nil if there were none.
+func (e *Engine) IllegalTransitions() []string { return e.life.illegal }
 
-// Moved returns how many times each transition was made, illegal ones included.
-func (e *Engine) Moved() map[Move]uint64 {
-	all := map[Move]uint64{}
+// TransitionCounts returns how many times each transition was made, illegal ones included.
+func (e *Engine) TransitionCounts() map[Transition]uint64 {
+	all := map[Transition]uint64{}
 	for from := range e.life.conns {
 		for to, n := range e.life.conns[from] {
 			if n > 0 {
-				all[Move{"connection", connStateNames[from], connStateNames[to]}] = n
+				all[Transition{"connection", connStateNames[from], connStateNames[to]}] = n
 			}
 		}
 	}
 	for from := range e.life.attempts {
 		for to, n := range e.life.attempts[from] {
 			if n > 0 {
-				all[Move{"attempt", attemptStateNames[from], attemptStateNames[to]}] = n
+				all[Transition{"attempt", attemptStateNames[from], attemptStateNames[to]}] = n
 			}
 		}
 	}
 	return all
 }
 
-// Sound recounts connections, attempts and requests, and returns an error for the first count the engine has
+// CheckCounts recounts connections, attempts and requests, and returns an error for the first count the engine has
 // wrong. It is for tests and model checking: it walks the whole state.
-func (e *Engine) Sound() error {
+func (e *Engine) CheckCounts() error {
 	type count struct{ busy, dials, idle int }
 	counts := map[*node]*count{}
 	for _, n := range e.nodes {
--- a/driver/life_test.go
+++ b/driver/life_test.go
@@ -14,7 +14,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	documented, of := map[Move]bool{}, ""
+	documented, of := map[Transition]bool{}, ""
 	for _, line := range strings.Split(string(text), "\n") {
 		cells := strings.Split(line, " | ")
 		switch first := strings.TrimPrefix(cells[0], "| "); {
@@ -23,10 +23,10 @@
 		case first == "connection" || first == "attempt":
 			of = first
 		case of != "" && first != "---":
-			documented[Move{of, first, cells[1]}] = true
+			documented[Transition{of, first, cells[1]}] = true
 		}
 	}
-	for _, m := range Moves() {
+	for _, m := range LegalTransitions() {
 		if !documented[m] {
 			t.Errorf("%v is not in docs/life.md", m)
 		}
@@ -47,10 +47,10 @@
 	if r.reply(r.sent(id)); r.answer(id).Status != Served {
 		t.Error("the engine does not continue")
 	}
-	if all := r.e.Illegal(); len(all) != 1 || !strings.Contains(all[0], "goes from idle to dialing") {
+	if all := r.e.IllegalTransitions(); len(all) != 1 || !strings.Contains(all[0], "goes from idle to dialing") {
 		t.Errorf("%q", all)
 	}
-	if r.e.Moved()[Move{"connection", "dialing", "idle"}] == 0 {
+	if r.e.TransitionCounts()[Transition{"connection", "dialing", "idle"}] == 0 {
 		t.Error("legal transitions are not counted")
 	}
 }
--- a/driver/outcome.go
+++ b/driver/outcome.go
@@ -24,7 +24,7 @@
 	Answers bool // the node's reply, rows or its error, is the answer to the client
 }
 
-// Judge maps the result of an exchange to the router's outcome. No other code decides this:
+// Classify maps the result of an exchange to the router's outcome. No other code decides this:
 //
 //	not written                            ConnectFailed   nothing ran
 //	broken before the node started it,
@@ -40,11 +40,11 @@
 //	classes 53, 57, 58, XX                 Error           the node is in trouble
 //	any other error                        OK              the statement's own; its transaction was rolled back
 //	none                                   OK
-func Judge(r *Result) Classification {
+func Classify(r *Result) Classification {
 	if r.Done {
 		return Classification{balance.OutcomeOK, true}
 	}
-	if r.Guarded && !r.Began {
+	if r.GuardFailed && !r.Started {
 		return Classification{Outcome: balance.OutcomeMiss}
 	}
 	if r.Err == nil {
@@ -66,18 +66,18 @@
 	case codeTooManyConnections, codeCannotConnectNow:
 		return Classification{Outcome: balance.OutcomeFull}
 	case codeAdminShutdown, codeCrashShutdown, codeDatabaseDropped, codeIdleSessionTimeout:
-		if !r.Began {
+		if !r.Started {
 			return Classification{Outcome: balance.OutcomeConnectFailed}
 		}
 		return Classification{Outcome: balance.OutcomeReset}
 	case codeQueryCanceled:
 		return Classification{Outcome: balance.OutcomeCancelled}
 	case codeSerializationFailure, codeDeadlockDetected:
-		if r.Asking || r.Facts.Known && r.Facts.Replica {
+		if r.InFactsQuery || r.Facts.Known && r.Facts.Replica {
 			return Classification{Outcome: balance.OutcomeError}
 		}
 	default:
-		if r.Asking {
+		if r.InFactsQuery {
 			return Classification{Outcome: balance.OutcomeError}
 		}
 		switch code[:2] {
--- a/driver/sessions.go
+++ b/driver/sessions.go
@@ -21,10 +21,10 @@
 	floor    map[string]position.Position
 	// floorUnknown is set after a restart without complete state: an untracked session may have written through
 	// the earlier run, so it requires the latest position until the primary has reported one.
-	floorUnknown bool
-	restoredAt   time.Duration
-	lift         func(slice string, since time.Duration) (position.Position, bool) // a position that the primary reported after a time
-	passed       func(slice string, at position.Position) bool                     // whether every node is at or beyond a position
+	floorUnknown  bool
+	restoredAt    time.Duration
+	reportedAfter func(slice string, since time.Duration) (position.Position, bool) // a position that the primary reported after a time
+	passedByAll   func(slice string, at position.Position) bool                     // whether every node is at or beyond a position
 }
 
 type sessionKey struct{ slice, session string }
@@ -61,12 +61,12 @@
 func (s *sessions) evict() {
 	key, known, _ := s.tracked.RemoveOldest()
 	s.bytes -= key.cost()
-	if known.at.LSN == position.Unknown {
-		if at, ok := s.lift(key.slice, known.lastUsed); ok {
+	if known.at.LSN == position.UnknownLSN {
+		if at, ok := s.reportedAfter(key.slice, known.lastUsed); ok {
 			known.at = at
 		}
 	}
-	if !s.passed(key.slice, known.at) {
+	if !s.passedByAll(key.slice, known.at) {
 		s.floor[key.slice] = s.floor[key.slice].Join(known.at)
 	}
 }
@@ -78,7 +78,7 @@
 	}
 	floor := s.floor[slice]
 	if s.floorUnknown {
-		at, ok := s.lift(slice, s.restoredAt)
+		at, ok := s.reportedAfter(slice, s.restoredAt)
 		if !ok {
 			return position.Present
 		}
--- a/driver/state.go
+++ b/driver/state.go
@@ -8,12 +8,12 @@
 
 // NodeState is what an engine knows of a node, for operators.
 type NodeState struct {
-	Name, Slice, Address, Hall string
+	Name, Slice, Address, Zone string
 	Life                       balance.Life
-	Heard                      time.Duration // last answer, on the engine's clock; 0 for none
+	LastAnswer                 time.Duration // last answer, on the engine's clock; 0 for none
 	Facts                      Facts         // reported then
-	Failing                    time.Duration // since when it can't be reached, on the engine's clock; 0 if it can
-	Why                        string        // the last error that kept it from being reached
+	FailingSince               time.Duration // since when it can't be reached, on the engine's clock; 0 if it can
+	Failure                    string        // the last error that kept it from being reached
 }
 
 // Nodes returns all listed nodes, in order of first appearance.
@@ -23,8 +23,8 @@
 		if n.entry.Life == balance.LifeRemoved {
 			continue
 		}
-		all = append(all, NodeState{Name: n.entry.Name, Slice: n.slice.name, Address: n.entry.Address, Hall: n.entry.Hall,
-			Life: n.entry.Life, Heard: n.lastAnswer, Facts: n.facts, Failing: n.failingSince, Why: n.failure})
+		all = append(all, NodeState{Name: n.entry.Name, Slice: n.slice.name, Address: n.entry.Address, Zone: n.entry.Zone,
+			Life: n.entry.Life, LastAnswer: n.lastAnswer, Facts: n.facts, FailingSince: n.failingSince, Failure: n.failure})
 	}
 	return all
 }
--- a/driver/suspect.go
+++ b/driver/suspect.go
@@ -66,7 +66,7 @@
 	}
 	for _, entry := range s.topo.Entries() {
 		if entry.Node == s.primary.entry.Name {
-			return entry.Standing == topology.Office && entry.Claim.Sent >= s.suspicion.since
+			return entry.Status == topology.Incumbent && entry.Claim.Sent >= s.suspicion.since
 		}
 	}
 	return false
--- a/driver/topology.go
+++ b/driver/topology.go
@@ -38,7 +38,7 @@
 	if channel == topology.Poll {
 		n.unconfirmed = false
 	}
-	c := topology.Claim{Node: n.entry.Name, Role: topology.Primary, Timeline: f.Position.Timeline, LSN: f.Position.LSN, System: n.system, Sent: sentAt, Heard: e.now, Channel: channel}
+	c := topology.Claim{Node: n.entry.Name, Role: topology.Primary, Timeline: f.Position.Timeline, LSN: f.Position.LSN, System: n.system, Sent: sentAt, Received: e.now, Channel: channel}
 	if f.Replica {
 		c.Role = topology.Replica
 		if f.Upstream != "" || channel == topology.Poll {
@@ -47,7 +47,7 @@
 		c.Upstream = e.nameByAddress(s, n.knownUpstream)
 	}
 	was := s.topo.Verdict()
-	if s.topo.Hear(c) {
+	if s.topo.Observe(c) {
 		e.verdictChanged(s, was)
 	}
 }
@@ -59,11 +59,11 @@
 	if n.system == 0 {
 		return false
 	}
-	standing := n.slice.topo.Standing(n.entry.Name)
+	standing := n.slice.topo.Status(n.entry.Name)
 	if f.Position.Timeline > n.slice.topo.Verdict().Term {
 		return true
 	}
-	return !f.Replica && (standing == topology.Follower || standing == topology.Unheard)
+	return !f.Replica && (standing == topology.Follower || standing == topology.Unreported)
 }
 
 // pollNow polls a node at once if a connection for that is idle and no poll is pending.
@@ -92,14 +92,14 @@
 	if now.System != was.System && was.System != 0 {
 		s.clock = position.Clock{} // positions of another cluster prove nothing
 	}
-	s.clock.Seen(now.Term)
+	s.clock.ObserveTimeline(now.Term)
 	s.primary = e.nodeNamed(s, now.Primary)
 	e.logLastChange(s)
 	if now.Term > was.Term && was.Term > 0 {
 		s.lossTimeline = 0
 	}
 	for _, n := range s.nodes {
-		if standing := s.topo.Standing(n.entry.Name); !standing.Takes() && standing != topology.Rival {
+		if standing := s.topo.Status(n.entry.Name); !standing.Routable() && standing != topology.Rival {
 			e.depose(n)
 		}
 	}
@@ -127,7 +127,7 @@
 		return
 	}
 	r := h[len(h)-1]
-	e.cmds = append(e.cmds, Command{Kind: CommandLog, Text: fmt.Sprintf("topology of slice %s, #%d: %s (by a %s of %s, %v)", s.name, r.Number, r.What, r.Claim.Channel,
+	e.cmds = append(e.cmds, Command{Kind: CommandLog, Text: fmt.Sprintf("topology of slice %s, #%d: %s (by a %s of %s, %v)", s.name, r.Number, r.Text, r.Claim.Channel,
 		r.Claim.Node, position.Position{Timeline: r.Claim.Timeline, LSN: r.Claim.LSN})})
 }
 
@@ -167,7 +167,7 @@
 
 // blocked reports whether a node may get no attempts by the latest reports, its own and those of other nodes. It
 // keeps requests from stale primaries and from nodes of another cluster.
-func (n *node) blocked() bool { return n.unconfirmed || !n.slice.topo.Standing(n.entry.Name).Takes() }
+func (n *node) blocked() bool { return n.unconfirmed || !n.slice.topo.Status(n.entry.Name).Routable() }
 
 // deposed reports whether facts come from a stale primary, one that still reports itself as primary, or from a
 // node of another cluster.
@@ -189,8 +189,8 @@
 	if !known {
 		fork = p.LSN // upper bound, for operators only: tokens may lie one byte past what their sessions saw
 	}
-	if lost, ok := s.topo.Beyond(p.Timeline-1, fork); ok {
-		s.topo.Lose(lost, e.now)
+	if lost, ok := s.topo.LossBeyond(p.Timeline-1, fork); ok {
+		s.topo.RecordLoss(lost, e.now)
 		e.logLastChange(s)
 	}
 }
@@ -287,8 +287,8 @@
 	History []topology.Record
 }
 
-// Ledgers returns the ledgers of all slices, sorted by name.
-func (e *Engine) Ledgers() (all []SliceView) {
+// SliceViews returns the ledgers of all slices, sorted by name.
+func (e *Engine) SliceViews() (all []SliceView) {
 	for _, name := range e.sliceNames() {
 		s := e.slices[name]
 		all = append(all, SliceView{name, s.topo.Verdict(), s.topo.Entries(), s.topo.History()})
@@ -350,7 +350,7 @@
 	for _, st := range e.cfg.Topology.Slices {
 		if st.Name == s.name {
 			s.topo.Restore(st)
-			s.clock.Seen(s.topo.Verdict().Term)
+			s.clock.ObserveTimeline(s.topo.Verdict().Term)
 		}
 	}
 }
--- a/driver/topology_test.go
+++ b/driver/topology_test.go
@@ -55,7 +55,7 @@
 		if i == 60 && r.isSent(keyed) {
 			t.Error("the keyed write was resent while in flight")
 		} else if i == 60 { // it resumes and handles the cancel
-			r.result(first[keyed], Result{Began: true, Err: &pgwire.Error{Severity: "ERROR", Code: "57014", Message: "m"}, Facts: primary(at(1, 1000))})
+			r.result(first[keyed], Result{Started: true, Err: &pgwire.Error{Severity: "ERROR", Code: "57014", Message: "m"}, Facts: primary(at(1, 1000))})
 		}
 		for len(r.sends) > 0 {
 			c := r.sent(r.sends[0].Request)
@@ -113,7 +113,7 @@
 	r.nodes["r1"].facts = primary(at(4, 1000))
 	r.nodes["p"].facts = replica(at(4, 1000))
 	id := r.lastReq
-	r.result(r.sent(id), Result{Guarded: true, Asking: true, Err: &pgwire.Error{Severity: "ERROR", Code: "55000", Message: "m"}, Facts: replica(at(4, 1000))})
+	r.result(r.sent(id), Result{GuardFailed: true, InFactsQuery: true, Err: &pgwire.Error{Severity: "ERROR", Code: "55000", Message: "m"}, Facts: replica(at(4, 1000))})
 	r.run(400 * ms)
 	if !r.isSent(id) {
 		t.Fatalf("it was not resent: %+v", r.answers[id])
@@ -151,7 +151,7 @@
 		}
 		r.run(4 * time.Second)
 		if !r.isSent(id) {
-			t.Errorf("%s: writes did not resume: %+v; %+v", how, r.answers[id], r.e.Ledgers())
+			t.Errorf("%s: writes did not resume: %+v; %+v", how, r.answers[id], r.e.SliceViews())
 			continue
 		}
 		if c := r.sent(id); c.Node != "p" {
@@ -187,8 +187,8 @@
 			r.reply(c)
 		}
 	}
-	if s := r.e.slices["news"]; s.clock.Timeline() != 2 || s.topo.Standing("r1") != topology.Foreign {
-		t.Errorf("timeline %d, r1 %v", s.clock.Timeline(), s.topo.Standing("r1"))
+	if s := r.e.slices["news"]; s.clock.Timeline() != 2 || s.topo.Status("r1") != topology.Foreign {
+		t.Errorf("timeline %d, r1 %v", s.clock.Timeline(), s.topo.Status("r1"))
 	}
 	r.checkIdle()
 }
@@ -213,7 +213,7 @@
 		r.run(300 * ms)
 	}
 	if !r.isSent(id) {
-		t.Errorf("it is not written after Forget: %+v; %+v", r.answers[id], r.e.Ledgers())
+		t.Errorf("it is not written after Forget: %+v; %+v", r.answers[id], r.e.SliceViews())
 	}
 	r.checkIdle()
 }
@@ -320,9 +320,9 @@
 		if name == "p" {
 			life = balance.LifeDraining
 		}
-		list = append(list, Node{Name: name, Address: name + ":1", Slice: "news", Hall: "a", Life: life})
+		list = append(list, Node{Name: name, Address: name + ":1", Slice: "news", Zone: "a", Life: life})
 	}
-	r.step(Event{Kind: EventList, List: balance.ListFull, Nodes: list})
+	r.step(Event{Kind: EventNodeList, List: balance.ListFull, Nodes: list})
 	r.run(450 * ms)
 	r.nodes["p"].unreachable = true
 	id := r.request(classWrite, token.Token{})
@@ -351,7 +351,7 @@
 		id := r.request(classWrite, token.Token{})
 		r.run(50 * ms)
 		if !r.isSent(id) {
-			t.Fatalf("promotion %d: the write was not sent: %+v, %+v", i, r.answers[id], r.e.Ledgers()[0].Verdict)
+			t.Fatalf("promotion %d: the write was not sent: %+v, %+v", i, r.answers[id], r.e.SliceViews()[0].Verdict)
 		}
 		c := r.sent(id)
 		if c.Node != now || c.Guard.Timeline != timeline {
@@ -416,7 +416,7 @@
 	id := r.request(classWrite, token.Token{})
 	if r.isSent(id) { // the driver can't know yet: the node's guard refuses the write
 		c := r.sent(id)
-		r.result(c, Result{Guarded: true, Asking: true, Err: &pgwire.Error{Severity: "ERROR", Code: "55000", Message: "m"}, Facts: r.nodes["p"].facts})
+		r.result(c, Result{GuardFailed: true, InFactsQuery: true, Err: &pgwire.Error{Severity: "ERROR", Code: "55000", Message: "m"}, Facts: r.nodes["p"].facts})
 	}
 	if r.run(3500 * ms); r.isSent(id) || len(r.answers[id]) > 0 {
 		t.Errorf("the write is in flight or answered without a known primary: %+v, %v", r.answers[id], r.sends)
@@ -448,8 +448,8 @@
 			t.Fatal(err)
 		}
 		newer := withCluster(primary(at(9, 5000)), 7, "")
-		r.result(asked, Result{Began: true, Done: true, Facts: newer, After: newer})
-		if v := r.e.Ledgers()[0]; v.Verdict.Term != 0 || len(v.Nodes) != 0 {
+		r.result(asked, Result{Started: true, Done: true, Facts: newer, After: newer})
+		if v := r.e.SliceViews()[0]; v.Verdict.Term != 0 || len(v.Nodes) != 0 {
 			t.Errorf("an answer to a question from before Forget: %+v", v)
 		}
 		for name, n := range r.nodes {
@@ -460,7 +460,7 @@
 			}
 		}
 		r.run(2000 * ms)
-		if v := r.e.Ledgers()[0]; v.Verdict.Term != 2 || v.Verdict.Primary != "p" {
+		if v := r.e.SliceViews()[0]; v.Verdict.Term != 2 || v.Verdict.Primary != "p" {
 			t.Errorf("answers to questions since Forget: %+v", v.Verdict)
 		}
 	}
--- a/driver/visibility_test.go
+++ b/driver/visibility_test.go
@@ -13,7 +13,7 @@
 	r.t.Helper()
 	id := r.request(class, tok)
 	r.run(50 * ms)
-	r.result(r.sent(id), Result{Began: true, Done: true, Facts: before, After: after})
+	r.result(r.sent(id), Result{Started: true, Done: true, Facts: before, After: after})
 	a := r.answer(id)
 	p, _ := a.Token.At("news")
 	return p, a
@@ -28,7 +28,7 @@
 	if seen.LSN != 192 {
 		t.Fatalf("its token is at %v though it saw 192", seen)
 	}
-	if held, _ := a.Holds.At("news"); held.LSN != 128 {
+	if held, _ := a.LowerBound.At("news"); held.LSN != 128 {
 		t.Errorf("it holds %v for certain, though the position before it was 128", held)
 	}
 	id := r.request(classOwn, a.Token)
@@ -52,7 +52,7 @@
 	id := r.request(classOwn, a.Token)
 	r.run(50 * ms)
 	c := r.sent(id)
-	r.result(c, Result{Began: true, Done: true, Facts: under, After: under})
+	r.result(c, Result{Started: true, Done: true, Facts: under, After: under})
 	if len(r.answers[id]) > 0 {
 		t.Errorf("served by %s, which is at the start of the record", c.Node)
 	}
@@ -63,13 +63,13 @@
 // The primary must not serve a client that saw the commit until all transactions up to there have finished.
 func TestCommitVisibleAtReplicaFirst(t *testing.T) {
 	saw := replica(at(1, 1000))
-	saw.Shown = position.TransactionsBelow(701)
+	saw.MaybeVisible = position.TransactionsBelow(701)
 	waits := primary(position.Position{Timeline: 1, LSN: 1000, Transactions: position.TransactionsBelow(700)})
 	r := newHarness(t, testConfig(), map[string]Facts{"p": waits, "r1": saw, "r2": saw})
 	_, a := r.readAt(classOwn, token.Token{}, saw, saw)
 	id := r.request(classDesk, a.Token) // only the primary can serve it
 	r.run(50 * ms)
-	r.result(r.sent(id), Result{Began: true, Done: true, Facts: waits, After: waits})
+	r.result(r.sent(id), Result{Started: true, Done: true, Facts: waits, After: waits})
 	if len(r.answers[id]) > 0 {
 		t.Fatalf("served by a primary that shows less: %+v", r.answers[id])
 	}
@@ -80,7 +80,7 @@
 		id = r.request(classDesk, a.Token)
 		r.run(50 * ms)
 	}
-	r.result(r.sent(id), Result{Began: true, Done: true, Facts: over, After: over})
+	r.result(r.sent(id), Result{Started: true, Done: true, Facts: over, After: over})
 	if got := r.answer(id); got.Status != Served {
 		t.Errorf("%+v", got)
 	}
@@ -94,8 +94,8 @@
 	id := r.request(classStats, token.Token{})
 	r.run(50 * ms)
 	c := r.sent(id)
-	r.step(Event{Kind: EventOpened, Conn: c.Conn, Result: Result{Facts: replica(at(1, 1000))}})
-	r.result(c, Result{Began: true, Done: true, Facts: replica(at(1, 1000)), After: primary(at(2, 1200))})
+	r.step(Event{Kind: EventStreamStarted, Conn: c.Conn, Result: Result{Facts: replica(at(1, 1000))}})
+	r.result(c, Result{Started: true, Done: true, Facts: replica(at(1, 1000)), After: primary(at(2, 1200))})
 	a := r.answer(id)
 	if p, _ := a.Token.At("news"); p != at(2, 1200) {
 		t.Errorf("token %v", p)
@@ -144,7 +144,7 @@
 // latest position.
 func TestNoPositionAfterRead(t *testing.T) {
 	r := newHarness(t, testConfig(), fleetFacts())
-	if p, _ := r.readAt(classOwn, token.Token{}, replica(at(1, 1000)), Facts{}); p.LSN != position.Unknown {
+	if p, _ := r.readAt(classOwn, token.Token{}, replica(at(1, 1000)), Facts{}); p.LSN != position.UnknownLSN {
 		t.Errorf("token %v", p)
 	}
 	r.checkIdle()
@@ -153,7 +153,7 @@
 // TestSessionsTrackReads: where the driver follows sessions, a session's reads count too, not only its writes.
 func TestSessionsTrackReads(t *testing.T) {
 	cfg := testConfig()
-	cfg.DriverSessions, cfg.SessionBytes, cfg.SessionsWhole = true, 1<<20, true
+	cfg.DriverSessions, cfg.SessionBytes, cfg.SessionsComplete = true, 1<<20, true
 	r := newHarness(t, cfg, fleetFacts())
 	r.nodes["p"].facts = primary(at(1, 1100))
 	r.readAt(classOwn, token.Token{}, replica(at(1, 1000)), replica(at(1, 1100)))
@@ -168,13 +168,13 @@
 // TestUnknownPositionKeepsTransactions: a token with an unknown position requires the latest position, and the
 // transactions that its session saw at a replica.
 func TestUnknownPositionKeepsTransactions(t *testing.T) {
-	for _, at := range []position.Position{{Timeline: 1, LSN: position.Unknown}, position.Present} {
+	for _, at := range []position.Position{{Timeline: 1, LSN: position.UnknownLSN}, position.Present} {
 		at.Transactions = position.TransactionsBelow(701)
 		waits := primary(position.Position{Timeline: 1, LSN: 1000, Transactions: position.TransactionsBelow(700)})
 		r := newHarness(t, testConfig(), map[string]Facts{"p": waits, "r1": replica(position.Position{Timeline: 1, LSN: 1000})})
 		id := r.request(classDesk, token.Token{}.With("news", at))
 		r.run(50 * ms)
-		r.result(r.sent(id), Result{Began: true, Done: true, Facts: waits, After: waits})
+		r.result(r.sent(id), Result{Started: true, Done: true, Facts: waits, After: waits})
 		if len(r.answers[id]) > 0 && r.answers[id][0].Status == Served {
 			t.Errorf("%v: served by a primary that shows less", at)
 		}
@@ -186,13 +186,13 @@
 // a replica, as it may not show them yet.
 func TestPrimaryWithoutTransactions(t *testing.T) {
 	saw := replica(at(1, 1000))
-	saw.Shown = position.TransactionsBelow(701)
+	saw.MaybeVisible = position.TransactionsBelow(701)
 	silent := primary(at(1, 1000))
 	r := newHarness(t, testConfig(), map[string]Facts{"p": silent, "r1": saw, "r2": saw})
 	_, a := r.readAt(classOwn, token.Token{}, saw, saw)
 	id := r.request(classDesk, a.Token)
 	r.run(50 * ms)
-	r.result(r.sent(id), Result{Began: true, Done: true, Facts: silent, After: silent})
+	r.result(r.sent(id), Result{Started: true, Done: true, Facts: silent, After: silent})
 	if len(r.answers[id]) > 0 && r.answers[id][0].Status == Served {
 		t.Errorf("served: %+v", r.answers[id][0])
 	}
@@ -205,7 +205,7 @@
 	reported := primary(position.Position{Timeline: 1, LSN: 1000, Transactions: position.TransactionsBelow(700)})
 	r := newHarness(t, testConfig(), map[string]Facts{"p": reported, "r1": replica(at(1, 1000)), "r2": replica(at(1, 1000))})
 	_, a := r.readAt(classDesk, token.Token{}, reported, reported)
-	holds, _ := a.Holds.At("news")
+	holds, _ := a.LowerBound.At("news")
 	for below, want := range map[uint64]bool{700: true, 701: false} {
 		need := position.Position{Timeline: 1, LSN: 900, Transactions: position.TransactionsBelow(below)}
 		if holds.Covers(need) != want {
@@ -227,7 +227,7 @@
 	reported := primary(position.Position{Timeline: 1, LSN: 1000, Transactions: position.TransactionsBelow(700)})
 	r := newHarness(t, testConfig(), map[string]Facts{"p": reported, "r1": replica(at(1, 900)), "r2": replica(at(1, 900))})
 	_, a := r.readAt(classDesk, token.Token{}.With("news", at(1, 1000)), reported, reported)
-	if holds, _ := a.Holds.At("news"); holds.LSN != 999 {
+	if holds, _ := a.LowerBound.At("news"); holds.LSN != 999 {
 		t.Errorf("it holds %v, read at a primary at 1000", holds)
 	}
 	r.checkIdle()
@@ -236,12 +236,12 @@
 // TestWriteKeepsTransactionsOfAnUnknownPosition: a write's own position replaces an unknown one in the token, but
 // not the transactions that the session saw at a replica.
 func TestWriteKeepsTransactionsOfAnUnknownPosition(t *testing.T) {
-	seen := position.Position{Timeline: 1, LSN: position.Unknown, Transactions: position.TransactionsBelow(701)}
+	seen := position.Position{Timeline: 1, LSN: position.UnknownLSN, Transactions: position.TransactionsBelow(701)}
 	reported := primary(position.Position{Timeline: 1, LSN: 1000, Transactions: position.TransactionsBelow(700)})
 	r := newHarness(t, testConfig(), map[string]Facts{"p": reported, "r1": replica(at(1, 900)), "r2": replica(at(1, 900))})
 	id := r.request(classWrite, token.Token{}.With("news", seen))
 	r.run(50 * ms)
-	r.result(r.sent(id), Result{Began: true, Done: true, Facts: reported})
+	r.result(r.sent(id), Result{Started: true, Done: true, Facts: reported})
 	answer := r.answer(id)
 	if p, _ := answer.Token.At("news"); p.LSN != 1000 || p.Transactions != seen.Transactions {
 		t.Errorf("its token is %v with %v", p, p.Transactions)
--- a/explore/events.go
+++ b/explore/events.go
@@ -83,7 +83,7 @@
 // deliverCancel delivers a cancel to a node before the node has run the query.
 func (w *World) deliverCancel(conn *simConn) {
 	conn.pending.ran = true
-	conn.pending.result = driver.Result{Began: true, Facts: w.facts(conn.node), Err: &pgwire.Error{Severity: "ERROR", Code: "57014", Message: "canceled"}}
+	conn.pending.result = driver.Result{Started: true, Facts: w.facts(conn.node), Err: &pgwire.Error{Severity: "ERROR", Code: "57014", Message: "canceled"}}
 	w.deliverReply(conn)
 }
 
@@ -93,7 +93,7 @@
 	w.reqs[c.current].disconnected = true
 	id := c.current
 	c.current = 0
-	w.step(driver.Event{Kind: driver.EventLeft, Request: id})
+	w.step(driver.Event{Kind: driver.EventClientLeft, Request: id})
 }
 
 func (w *World) drain(n *node) {
--- a/explore/explore.go
+++ b/explore/explore.go
@@ -66,7 +66,7 @@
 // cfg.Depth is reached, no new state is left, an option's bound is exceeded or a level contains a violation, and calls
 // progress, unless nil, after each level. An error is ctx's, or says that a path could not be replayed.
 func Run(ctx context.Context, cfg Config, opts Options, progress func(depth, states int)) (*Report, error) {
-	x := &explorer{cfg: cfg, opts: opts, visited: map[uint64]struct{}{}, seen: map[string]bool{}, lifecycleTransitions: map[driver.Move]bool{}}
+	x := &explorer{cfg: cfg, opts: opts, visited: map[uint64]struct{}{}, seen: map[string]bool{}, lifecycleTransitions: map[driver.Transition]bool{}}
 	began := time.Now()
 	level := []*path{{}}
 	r := &Report{Config: cfg}
@@ -104,7 +104,7 @@
 	mu                   sync.Mutex
 	visited              map[uint64]struct{}
 	seen                 map[string]bool
-	lifecycleTransitions map[driver.Move]bool
+	lifecycleTransitions map[driver.Transition]bool
 	violations           []Violation
 }
 
@@ -190,8 +190,8 @@
 	}
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	if len(x.lifecycleTransitions) < len(driver.Moves()) {
-		for move := range w.engine.Moved() {
+	if len(x.lifecycleTransitions) < len(driver.LegalTransitions()) {
+		for move := range w.engine.TransitionCounts() {
 			x.lifecycleTransitions[move] = true
 		}
 	}
--- a/explore/explore_test.go
+++ b/explore/explore_test.go
@@ -30,8 +30,8 @@
 			t.Errorf("%q never occurred", want)
 		}
 	}
-	if r.LifecycleTransitions < len(driver.Moves())-2 {
-		t.Errorf("%d of %d moves were made", r.LifecycleTransitions, len(driver.Moves()))
+	if r.LifecycleTransitions < len(driver.LegalTransitions())-2 {
+		t.Errorf("%d of %d moves were made", r.LifecycleTransitions, len(driver.LegalTransitions()))
 	}
 	cfg.Depth = 4
 	one, err := Run(context.Background(), cfg, Options{Procs: 1, EndingInterval: 50}, nil)
--- a/explore/hash.go
+++ b/explore/hash.go
@@ -27,7 +27,7 @@
 
 // ignoredFields are the names of the struct fields that the hash excludes: see hasher.
 var ignoredFields = map[string]bool{"rng": true, "cmds": true, "events": true, "actions": true, "cfg": true, "due": true, "sweeping": true, "heap": true, "place": true, "seq": true, "token": true,
-	"history": true, "records": true, "router.cfg": true, "lift": true, "passed": true, "polls": false, "timer": true, "life": true, "sweepSlot": true, "sweeps": true, "all": true}
+	"history": true, "records": true, "router.cfg": true, "reportedAfter": true, "passedByAll": true, "polls": false, "timer": true, "life": true, "sweepSlot": true, "sweeps": true, "all": true}
 
 // minTimestamp separates durations from times of the engine's clock, which starts at startTime: a time.Duration above it is
 // a time.
--- a/explore/model.go
+++ b/explore/model.go
@@ -51,7 +51,7 @@
 }
 
 func engineConfig() driver.Config {
-	return driver.Config{Halls: []string{"a"}, MaxOpen: 100, PoolSize: 2, IdleClose: 2 * time.Second, Linger: time.Second, PollTimeout: 250 * ms, ClockAge: 50 * ms, AnswerMargin: 20 * ms,
+	return driver.Config{Zones: []string{"a"}, MaxOpen: 100, PoolSize: 2, IdleClose: 2 * time.Second, Linger: time.Second, PollTimeout: 250 * ms, ClockAge: 50 * ms, AnswerMargin: 20 * ms,
 		StartWithin: time.Second, CancelWork: true, SessionBytes: 1 << 16,
 		Router: balance.Config{Classes: classes(), Routers: 1, MinBatchInterval: ms, Positions: true, DrainGrace: 500 * ms, AnswerSlack: 20 * ms, ColdFrom: 0.2, RampTime: 10 * time.Second,
 			ColdOverloadMultiple: 3, ColdOverloadWindow: time.Second, Cancel: true, Probing: true, AttemptLimit: 10, RetryAfter: true, MaxRetryAfter: time.Second, DialTimeout: 250 * ms}}
@@ -161,13 +161,13 @@
 }
 
 func (w *World) nodeList() driver.Event {
-	ev := driver.Event{Kind: driver.EventList, List: balance.ListFull}
+	ev := driver.Event{Kind: driver.EventNodeList, List: balance.ListFull}
 	for _, n := range w.nodes {
 		life := balance.LifeReady
 		if _, ok := w.drained[n.name]; ok {
 			life = balance.LifeDraining
 		}
-		ev.Nodes = append(ev.Nodes, driver.Node{Name: n.name, Address: n.name + ":1", Slice: "s", Hall: "a", Life: life})
+		ev.Nodes = append(ev.Nodes, driver.Node{Name: n.name, Address: n.name + ":1", Slice: "s", Zone: "a", Life: life})
 	}
 	return ev
 }
@@ -199,7 +199,7 @@
 
 // advance moves time to the engine's next timer, or by a second if none is set.
 func (w *World) advance() {
-	at, ok := w.engine.Wake()
+	at, ok := w.engine.NextTimer()
 	if !ok {
 		at = w.now + time.Second
 	}
@@ -219,7 +219,7 @@
 	switch c.Kind {
 	case driver.CommandDial:
 		w.conns[c.Conn] = &simConn{id: c.Conn, node: w.nodeNamed(c.Node), dialing: true}
-	case driver.CommandAsk:
+	case driver.CommandReadFacts:
 		return w.readFacts(c)
 	case driver.CommandSend:
 		w.startExchange(c)
@@ -241,7 +241,7 @@
 func (w *World) noteCommand(c *driver.Command) {
 	names := [...]string{"dials", "sends", "asks", "cancels", "closes", "opens", "answers", "subscribes", "says", "has stopped"}
 	w.seen["command "+names[c.Kind]] = true
-	if !w.tracing || c.Kind == driver.CommandAsk || c.Kind == driver.CommandSubscribe {
+	if !w.tracing || c.Kind == driver.CommandReadFacts || c.Kind == driver.CommandSubscribe {
 		return
 	}
 	text := "driver " + names[c.Kind]
@@ -314,10 +314,10 @@
 	x := conn.pending
 	n, q := conn.node, w.reqs[x.request]
 	x.ran = true
-	r := driver.Result{Began: true, Done: true, Facts: w.facts(n)}
+	r := driver.Result{Started: true, Done: true, Facts: w.facts(n)}
 	switch {
 	case x.write && (!n.primary || n.timeline < x.guard.Timeline || x.guard.Until > 0 && w.now.Microseconds() > x.guard.Until):
-		r = driver.Result{Guarded: true, Asking: true, Facts: w.facts(n), Err: &pgwire.Error{Severity: "ERROR", Code: "55000", Message: "recovery"}}
+		r = driver.Result{GuardFailed: true, InFactsQuery: true, Facts: w.facts(n), Err: &pgwire.Error{Severity: "ERROR", Code: "55000", Message: "recovery"}}
 		w.seen["guard refuses"] = true
 	case x.write && (q.runs == 0 || classes()[q.class].Effect != balance.Keyed):
 		n.applied++
@@ -343,7 +343,7 @@
 	x := conn.pending
 	conn.pending = nil
 	w.endExchange(x)
-	if q := w.reqs[x.request]; x.result.Guarded && q != nil {
+	if q := w.reqs[x.request]; x.result.GuardFailed && q != nil {
 		if i := slices.Index(q.maybeRan, x.sent); i >= 0 {
 			q.maybeRan = slices.Delete(q.maybeRan, i, i+1)
 		}
@@ -357,7 +357,7 @@
 	ev := driver.Event{Kind: driver.EventClosed, Conn: conn.id}
 	if x := conn.pending; x != nil {
 		w.endExchange(x)
-		ev = driver.Event{Kind: driver.EventResult, Conn: conn.id, Result: driver.Result{End: driver.EndBroken, Began: x.ran}}
+		ev = driver.Event{Kind: driver.EventResult, Conn: conn.id, Result: driver.Result{End: driver.EndBroken, Started: x.ran}}
 	}
 	w.step(ev)
 }
@@ -379,10 +379,10 @@
 	c.next++
 	w.lastReq++
 	q := &request{client: i, class: class, deadline: w.now + classes()[class].Deadline}
-	ask := driver.Ask{Class: class, Slice: "s", Session: fmt.Sprint("client", i), Deadline: q.deadline, Token: c.token}
+	ask := driver.RequestParams{Class: class, Slice: "s", Session: fmt.Sprint("client", i), Deadline: q.deadline, Token: c.token}
 	q.need, _ = c.token.At("s")
 	w.reqs[w.lastReq], c.current = q, w.lastReq
-	w.step(driver.Event{Kind: driver.EventRequest, Request: w.lastReq, Ask: ask})
+	w.step(driver.Event{Kind: driver.EventRequest, Request: w.lastReq, Params: ask})
 }
 
 // promote makes the most advanced running replica primary of a new timeline. The other nodes of its timeline except old follow.
--- a/explore/properties.go
+++ b/explore/properties.go
@@ -39,10 +39,10 @@
 
 // checkTransitions checks the engine's state tables of connections and attempts, and its counts.
 func (w *World) checkTransitions() {
-	if all := w.engine.Illegal(); len(all) > 0 {
+	if all := w.engine.IllegalTransitions(); len(all) > 0 {
 		w.violate(PropertyTransitions, "%s", all[0])
 	}
-	if err := w.engine.Sound(); err != nil {
+	if err := w.engine.CheckCounts(); err != nil {
 		w.violate(PropertyCounts, "%v", err)
 	}
 }
@@ -71,9 +71,9 @@
 	if since, draining := w.drained[c.Node]; draining && w.now-since > engineConfig().Router.DrainGrace {
 		w.violate(PropertyDrain, "request %d is sent to %s %v after the driver was notified of its drain", c.Request, c.Node, w.now-since)
 	}
-	for _, n := range w.engine.Ledgers()[0].Nodes {
-		if n.Node == c.Node && !n.Standing.Takes() {
-			w.violate(PropertyDeposed, "request %d is sent to %s, which is %v", c.Request, c.Node, n.Standing)
+	for _, n := range w.engine.SliceViews()[0].Nodes {
+		if n.Node == c.Node && !n.Status.Routable() {
+			w.violate(PropertyDeposed, "request %d is sent to %s, which is %v", c.Request, c.Node, n.Status)
 		}
 	}
 }
@@ -142,7 +142,7 @@
 	if at := c.Answer.Facts.Position; classes()[q.class].Need == balance.NeedSession && at.Timeline == cl.lastWrite.timeline && at.LSN < cl.lastWrite.lsn {
 		w.violate(PropertyReadPosition, "request %d is served from %v, the session's last write is at %d", c.Request, at, cl.lastWrite.lsn)
 	}
-	if classes()[q.class].Need != balance.NeedSession || q.need.IsZero() || q.need.LSN == position.Unknown {
+	if classes()[q.class].Need != balance.NeedSession || q.need.IsZero() || q.need.LSN == position.UnknownLSN {
 		return
 	}
 	at := c.Answer.Facts.Position
--- a/lab/chain.go
+++ b/lab/chain.go
@@ -234,7 +234,7 @@
 func (c *chain) tokenPosition(tag, slice string, carried token.Bag, write bool) position.Position {
 	t, _ := carried.Peek()
 	need, _ := t.At(slice)
-	if write || need.IsZero() || need.LSN == position.Unknown {
+	if write || need.IsZero() || need.LSN == position.UnknownLSN {
 		return need
 	}
 	for _, g := range c.fleet.Groups {
@@ -349,7 +349,7 @@
 	if err == nil && r.Method == http.MethodGet {
 		holds, _ := token.Parse(p.Holds)
 		need, any := seen.At(slice)
-		if at, ok := holds.At(slice); any && (!ok || at.LSN == position.Unknown || !at.Covers(need)) {
+		if at, ok := holds.At(slice); any && (!ok || at.LSN == position.UnknownLSN || !at.Covers(need)) {
 			c.detected.Add(1)
 			q.Set("fresh", "1")
 			p, res, err = ask()
@@ -469,7 +469,7 @@
 	seen, err := token.Parse(p.Token)
 	held, complete := r.bag.Peek()
 	at, ok := seen.At(slice)
-	if has, _ := held.At(slice); err == nil && complete && ok && p.Value != "" && at.LSN != position.Unknown && has.Covers(at) {
+	if has, _ := held.At(slice); err == nil && complete && ok && p.Value != "" && at.LSN != position.UnknownLSN && has.Covers(at) {
 		r.versions[slice+"/"+thread] = version{p.Value, at}
 	}
 }
@@ -508,7 +508,7 @@
 	}
 	for _, a := range c.tokenReads {
 		s, ok := byTag[a.tag+" "+a.served]
-		if !ok || a.need.IsZero() || a.need.LSN == position.Unknown {
+		if !ok || a.need.IsZero() || a.need.LSN == position.UnknownLSN {
 			continue
 		}
 		tokens.Chances++
--- a/lab/experiment/file.go
+++ b/lab/experiment/file.go
@@ -73,7 +73,7 @@
 	cfg := world.Newsroom(s.drivers, s.slices, s.members, s.rate, s.length)
 	cfg.Cores, cfg.Work, cfg.Spread, cfg.Way, cfg.Cross, cfg.Ship, cfg.Apply = s.cores, s.work, s.workSpread, s.oneWayDelay, s.crossZoneDelay, s.shipDelay, s.applyDelay
 	cfg.Elect, cfg.Notice, cfg.Tries, cfg.Pause, cfg.Budget, cfg.EventCost = s.electionTime, s.noticeDelay, s.maxTries, s.retryPause, s.retryBudget, s.eventCost
-	cfg.Sessions, cfg.Keys, cfg.Visits, cfg.Judge, cfg.Troubles, cfg.Engine.Halls = s.sessions, s.keys, s.slicesPerSession, s.checkSessions, s.troubles, s.zones
+	cfg.Sessions, cfg.Keys, cfg.Visits, cfg.Judge, cfg.Troubles, cfg.Engine.Zones = s.sessions, s.keys, s.slicesPerSession, s.checkSessions, s.troubles, s.zones
 	cfg.Tail, cfg.Jitter, cfg.Cap, cfg.Greet, cfg.Think, cfg.Played = s.workTail, s.jitter, s.maxConnections, s.connectionCost, s.thinkTime, s.replay
 	cfg.Engine.Router.Classes = slices.Clone(cfg.Engine.Router.Classes)
 	if len(s.classes) > 0 {
@@ -84,7 +84,7 @@
 	}
 	if s.gate != "off" {
 		cfg.Gate = cfg.Admission()
-		cfg.Gate.Fixed = s.gate == "fixed"
+		cfg.Gate.FixedLimit = s.gate == "fixed"
 	}
 	return cfg
 }
--- a/lab/importday_test.go
+++ b/lab/importday_test.go
@@ -43,7 +43,7 @@
 		t.Fatalf("%v in\n%s", err, got)
 	}
 	w := x.Arms[0].World
-	if w.Drivers != 2 || w.Slices != 2 || w.Members != 2 || len(w.Engine.Halls) != 2 || len(w.Engine.Router.Classes) != 2 || w.Shares[0] < 0.74 || w.Shares[0] > 0.76 {
+	if w.Drivers != 2 || w.Slices != 2 || w.Members != 2 || len(w.Engine.Zones) != 2 || len(w.Engine.Router.Classes) != 2 || w.Shares[0] < 0.74 || w.Shares[0] > 0.76 {
 		t.Errorf("%+v", w)
 	}
 	seen := map[string]int{}
--- a/lab/live.go
+++ b/lab/live.go
@@ -79,10 +79,10 @@
 
 func startLive(cfg world.Config) (*live, error) {
 	l := &live{cfg: cfg, promotionLog: &promotionLog{}, load: 1, zonePaths: map[string]*zonePath{}, idle: make([][]*session, cfg.Drivers)}
-	for _, zone := range cfg.Engine.Halls {
+	for _, zone := range cfg.Engine.Zones {
 		l.zonePaths[zone] = &zonePath{}
 	}
-	spec := Spec{Slices: cfg.Slices, Members: cfg.Members, Drivers: cfg.Drivers, Site: siteOf(&cfg), Zones: cfg.Engine.Halls, Node: nodeOf(&cfg), Seed: cfg.Seed, Log: l.promotionLog.logger()}
+	spec := Spec{Slices: cfg.Slices, Members: cfg.Members, Drivers: cfg.Drivers, Site: siteOf(&cfg), Zones: cfg.Engine.Zones, Node: nodeOf(&cfg), Seed: cfg.Seed, Log: l.promotionLog.logger()}
 	if cfg.Gate == nil {
 		spec.Extra = "admission on off\n"
 	}
--- a/lab/live_test.go
+++ b/lab/live_test.go
@@ -13,7 +13,7 @@
 func shortWorld(seed uint64) world.Config {
 	cfg := world.Newsroom(2, 1, 4, 90, 7*time.Second)
 	cfg.Seed, cfg.Cores, cfg.Work, cfg.Elect, cfg.Notice, cfg.Tries = seed, 1, 10*time.Millisecond, 500*time.Millisecond, 200*time.Millisecond, 2
-	cfg.Engine.Halls = []string{"a", "b"}
+	cfg.Engine.Zones = []string{"a", "b"}
 	cfg.Cross = 2 * time.Millisecond
 	cfg.Gate = cfg.Admission()
 	place := world.Place{Slice: 0, Member: 2, Driver: -1}
--- a/lab/livetrouble.go
+++ b/lab/livetrouble.go
@@ -197,7 +197,7 @@
 func (l *live) zoneTrouble(t world.Trouble, rng *rand.Rand) {
 	zone := t.Place.Hall
 	if zone == "" {
-		zone = l.cfg.Engine.Halls[rng.IntN(len(l.cfg.Engine.Halls))]
+		zone = l.cfg.Engine.Zones[rng.IntN(len(l.cfg.Engine.Zones))]
 	}
 	extra, lost := time.Duration(t.Size*float64(max(l.cfg.Cross, l.cfg.Way))), t.Size
 	change := func(sign float64) {
--- a/lab/world/host.go
+++ b/lab/world/host.go
@@ -48,7 +48,7 @@
 // begin makes the driver's engine and front door anew.
 func (h *host) begin() (err error) {
 	w, cfg := h.w, h.w.cfg.Engine
-	cfg.Router.Zone = max(0, slices.Index(cfg.Halls, h.hall))
+	cfg.Router.Zone = max(0, slices.Index(cfg.Zones, h.hall))
 	seed := uint64(h.number) + h.lives*1_000_000
 	if h.engine, err = driver.New(cfg, w.cfg.Seed*1_000_003+seed); err != nil {
 		return err
@@ -73,7 +73,7 @@
 
 // hall is where the member or driver of a number stands.
 func (w *World) hall(number int) string {
-	return w.cfg.Engine.Halls[number%len(w.cfg.Engine.Halls)]
+	return w.cfg.Engine.Zones[number%len(w.cfg.Engine.Zones)]
 }
 
 func (w *World) nodeList() []driver.Node {
@@ -83,7 +83,7 @@
 			if n.life == balance.LifeRemoved {
 				continue
 			}
-			nodes = append(nodes, driver.Node{Name: n.name, Address: n.name, Slice: s.name, Hall: n.hall, Life: n.life, Started: n.rose})
+			nodes = append(nodes, driver.Node{Name: n.name, Address: n.name, Slice: s.name, Zone: n.hall, Life: n.life, Started: n.rose})
 		}
 	}
 	return nodes
@@ -96,7 +96,7 @@
 
 // listed hands it a list as it was.
 func (h *host) listed(kind balance.ListKind, nodes []driver.Node, lives []balance.Life) {
-	h.take(driver.Event{Kind: driver.EventList, List: kind, Nodes: nodes})
+	h.take(driver.Event{Kind: driver.EventNodeList, List: kind, Nodes: nodes})
 	h.news = lives
 }
 
@@ -123,7 +123,7 @@
 	h.w.result.Steps++
 	h.w.result.Events += len(h.inbox)
 	if h.gate != nil && len(h.inbox) > 0 {
-		h.gate.Looped(h.w.now, h.w.now-h.first)
+		h.gate.ObserveLoopDelay(h.w.now, h.w.now-h.first)
 	}
 	h.free = h.w.now + time.Duration(len(h.inbox))*h.w.cfg.EventCost
 	events := h.inbox
@@ -132,7 +132,7 @@
 	for i := range h.cmds {
 		h.do(&h.cmds[i])
 	}
-	if at, ok := h.engine.Wake(); ok && (h.wake == 0 || at < h.wake || h.wake <= h.w.now) {
+	if at, ok := h.engine.NextTimer(); ok && (h.wake == 0 || at < h.wake || h.wake <= h.w.now) {
 		h.wake = max(at, h.w.now+1)
 		due := h.wake
 		h.w.at(due, func() {
@@ -154,7 +154,7 @@
 		w.at(w.now+3*way+l.node.greets(), func() { l.dialed(ok) })
 	case driver.CommandSend:
 		h.send(c)
-	case driver.CommandAsk:
+	case driver.CommandReadFacts:
 		w.result.Polls++
 		if l := h.conns[c.Conn]; l != nil {
 			l.asked = true
--- a/lab/world/node.go
+++ b/lab/world/node.go
@@ -142,13 +142,13 @@
 	epoch := n.epoch
 	if w := n.slice.w; write && (n.timeline < g.Timeline || g.Until > 0 && w.now.Microseconds() > g.Until) {
 		w.result.Guarded++
-		l.reply(driver.Result{Guarded: true, Asking: true, Facts: n.facts(), Err: &pgwire.Error{Severity: "ERROR", Code: "22012", Message: "division by zero"}})
+		l.reply(driver.Result{GuardFailed: true, InFactsQuery: true, Facts: n.facts(), Err: &pgwire.Error{Severity: "ERROR", Code: "22012", Message: "division by zero"}})
 		return
 	}
 	n.arrives(q)
 	at := n.slice.w.tried(q, n)
 	run := func() {
-		r := driver.Result{Began: true, Done: true, Facts: n.facts()} // before a read
+		r := driver.Result{Started: true, Done: true, Facts: n.facts()} // before a read
 		w := n.slice.w
 		work, began := time.Duration(float64(n.work())*n.toil()*w.cfg.Burst.times(w.now-start, w.cfg.Burst.Work)), n.slice.timeline
 		look := func() {
--- a/lab/world/overload.go
+++ b/lab/world/overload.go
@@ -19,7 +19,7 @@
 func Arms() []Arm {
 	return []Arm{{"no gate", nil}, {"fixed", func(c *Config) *admission.Config {
 		g := c.Admission()
-		g.Fixed = true
+		g.FixedLimit = true
 		return g
 	}}, {"gate", (*Config).Admission}}
 }
--- a/lab/world/recording.go
+++ b/lab/world/recording.go
@@ -85,7 +85,7 @@
 }
 
 func place(p position.Position) (timeline int32, lsn int64) {
-	if p.LSN == position.Unknown {
+	if p.LSN == position.UnknownLSN {
 		return int32(p.Timeline), 0
 	}
 	return int32(p.Timeline), int64(p.LSN)
--- a/lab/world/rules_test.go
+++ b/lab/world/rules_test.go
@@ -12,7 +12,7 @@
 func troubled(seed uint64) Config {
 	cfg := site(4, 3, 400, 14*time.Second)
 	cfg.Seed, cfg.Judge, cfg.Notice = seed, true, 200*ms
-	cfg.Engine.Halls = []string{"a", "b"}
+	cfg.Engine.Zones = []string{"a", "b"}
 	cfg.Troubles = []Trouble{
 		{Kind: TroubleDrain, At: 3 * time.Second, For: 3 * time.Second, Place: Place{Slice: 0, Member: 2, Driver: -1}},
 		{Kind: TroubleCrash, At: 4 * time.Second, For: 2 * time.Second, Place: Place{Slice: 1, Member: -1, Primary: true, Driver: -1}},
--- a/lab/world/trouble.go
+++ b/lab/world/trouble.go
@@ -214,7 +214,7 @@
 
 func (w *World) pathAt(p Place, rng *rand.Rand) *path {
 	if p.Hall == "" {
-		p.Hall = w.cfg.Engine.Halls[rng.IntN(len(w.cfg.Engine.Halls))]
+		p.Hall = w.cfg.Engine.Zones[rng.IntN(len(w.cfg.Engine.Zones))]
 	}
 	return w.paths[p.Hall]
 }
--- a/lab/world/world.go
+++ b/lab/world/world.go
@@ -169,7 +169,7 @@
 func Run(cfg Config) (*Result, error) {
 	w := &World{cfg: cfg, now: start, nodes: map[string]*node{}, open: map[driver.RequestID]*request{}, gone: map[driver.RequestID]bool{}, paths: map[string]*path{}, load: 1}
 	w.losses, w.jitter, w.plants = w.stream("losses"), w.stream("jitter"), w.stream("plants")
-	for _, hall := range cfg.Engine.Halls {
+	for _, hall := range cfg.Engine.Zones {
 		w.paths[hall] = &path{}
 	}
 	w.result.Took, w.result.Causes, w.result.Tried = map[string]*hdrhistogram.Histogram{}, map[string]int{}, map[string]int{}
@@ -321,7 +321,7 @@
 	if w.bad > 0 && c.Effect == balance.Safe {
 		q.bad = rng.Float64() < w.bad
 	}
-	ask := driver.Ask{Class: class, Slice: sl.name, Deadline: q.deadline}
+	ask := driver.RequestParams{Class: class, Slice: sl.name, Deadline: q.deadline}
 	if at, ok := s.tok.At(sl.name); ok && c.Need != balance.NeedBounded {
 		q.need, ask.Token, q.carries = at, token.Token{}.With(sl.name, at), s.covers[sl.name]
 	}
@@ -341,24 +341,24 @@
 }
 
 // send hands a request to its driver, past the front door if there is one.
-func (w *World) send(q *request, ask driver.Ask) {
+func (w *World) send(q *request, ask driver.RequestParams) {
 	w.open[q.id] = q
 	if g := q.host.gate; g != nil {
-		t, v := g.Arrive(w.now, admission.Ask{Client: q.session.name, Slice: q.slice.name, Class: q.class, Bytes: 200, Attempt: q.try})
-		if v.Why != admission.Taken {
+		t, v := g.Admit(w.now, admission.Request{Client: q.session.name, Slice: q.slice.name, Class: q.class, Bytes: 200, Attempt: q.try})
+		if v.Reason != admission.Admitted {
 			w.result.Turned++
 			delete(w.open, q.id)
 			w.chance(RuleAnswer)
-			w.keep(q, &driver.Answer{Status: driver.Refused}, "front door: "+v.Why.String(), 0)
+			w.keep(q, &driver.Answer{Status: driver.Refused}, "front door: "+v.Reason.String(), 0)
 			q.host.free = max(q.host.free, w.now) + w.cfg.EventCost/10
-			if v.NoRetry || !w.again(q, v.After) {
+			if v.NoRetry || !w.again(q, v.RetryAfter) {
 				q.session.on()
 			}
 			return
 		}
 		q.ticket = t
 	}
-	q.host.take(driver.Event{Kind: driver.EventRequest, Request: q.id, Ask: ask})
+	q.host.take(driver.Event{Kind: driver.EventRequest, Request: q.id, Params: ask})
 	w.at(q.deadline-w.cfg.Engine.AnswerMargin/4, func() { w.overdue(q) })
 }
 
@@ -381,7 +381,7 @@
 	w.record(a, q)
 	w.keep(q, a, "overdue", 0)
 	q.session.on()
-	q.host.take(driver.Event{Kind: driver.EventLeft, Request: q.id})
+	q.host.take(driver.Event{Kind: driver.EventClientLeft, Request: q.id})
 }
 
 // again has a client try once more what was refused, if it still cares and may.
@@ -410,7 +410,7 @@
 		w.lastReq++
 		next := &request{id: w.lastReq, class: q.class, slice: q.slice, session: s, arrived: w.now, deadline: q.deadline, host: to,
 			first: q.first, try: q.try + 1, key: q.key, late: q.late, carries: q.carries, need: q.need}
-		ask := driver.Ask{Class: next.class, Slice: next.slice.name, Deadline: next.deadline}
+		ask := driver.RequestParams{Class: next.class, Slice: next.slice.name, Deadline: next.deadline}
 		if !q.need.IsZero() {
 			ask.Token = token.Token{}.With(q.slice.name, q.need)
 		}
@@ -436,7 +436,7 @@
 	delete(w.open, id)
 	w.chance(RuleAnswer)
 	if q.ticket != nil {
-		end := [...]admission.End{driver.Served: admission.Served, driver.Refused: admission.Other, driver.Failed: admission.Other}[a.Status]
+		end := [...]admission.Result{driver.Served: admission.Served, driver.Refused: admission.Other, driver.Failed: admission.Other}[a.Status]
 		if a.Status == driver.Refused && a.Cause == driver.CauseNoNode {
 			end = admission.Refused
 		}
@@ -515,10 +515,10 @@
 		case KeepAll:
 			q.session.heard(q, a.Token)
 		case KeepLower:
-			q.session.heard(q, a.Holds)
+			q.session.heard(q, a.LowerBound)
 		}
 	}
-	if c.Need == balance.NeedSession && !q.need.IsZero() && q.need.LSN != position.Unknown &&
+	if c.Need == balance.NeedSession && !q.need.IsZero() && q.need.LSN != position.UnknownLSN &&
 		(a.Facts.Position.Timeline < q.need.Timeline || a.Facts.Position.LSN < q.need.LSN) {
 		w.breaks(q, RuleStale, "request %d was served from %v, its token asked for %v", q.id, a.Facts.Position, q.need)
 	}
--- a/membership/address.go
+++ b/membership/address.go
@@ -8,19 +8,19 @@
 	"umberladder/inventory"
 )
 
-// Resolved sets the addresses, with port, that each node's name resolved to. A node without an entry counts as
+// SetAddresses sets the addresses, with port, that each node's name resolved to. A node without an entry counts as
 // unresolved and shares its address with no other node.
 //
 // Two names at one address are one database process. A new node that shares its address with a member in force is held
 // back. Of two members in force neither is removed, as a resolver may return a wrong address for all names at once;
 // they are reported in Change.Shared, and a drain of either drains both.
-func (m *Module) Resolved(now time.Duration, addresses map[string][]string) Change {
+func (m *Tracker) SetAddresses(now time.Duration, addresses map[string][]string) Change {
 	m.resolved = maps.Clone(addresses)
 	return m.apply(now)
 }
 
 // findShared finds the nodes that share an address and updates their states.
-func (m *Module) findShared() {
+func (m *Tracker) findShared() {
 	at := map[string][]*member{}
 	for _, k := range m.members {
 		k.duplicate = nil
--- a/membership/diff.go
+++ b/membership/diff.go
@@ -10,10 +10,10 @@
 
 // Step is one action that a driver would take when one list replaces another.
 type Step struct {
-	What  string // add, remove, move, drain, gone, ready, restart, hall, labels, hold
-	Node  string
-	Slice string
-	Note  string
+	Action string // add, remove, move, drain, gone, ready, restart, hall, labels, hold
+	Node   string
+	Slice  string
+	Note   string
 }
 
 // Diff returns the actions that a driver with list a in force would take on list b, at once or after a delay, and the
--- a/membership/membership.go
+++ b/membership/membership.go
@@ -24,20 +24,20 @@
 
 // Config sets how cautiously changes are applied.
 type Config struct {
-	MostLost     float64       // share of a slice's members, from 0 to 1, whose absence from a list is applied without confirmation
-	ConfirmAfter time.Duration // age at which an unchanged list is taken as confirmed; 0 for never
-	Drivers      int           // number of drivers that follow the same list; 0 if unknown
-	Together     int           // number of drivers that may connect to a new node within Step, on average
-	Step         time.Duration
-	OwnPace      int           // number of new nodes that one driver adds within Step, on average
-	FlapWindow   time.Duration // window over which returns of a node to ready are counted
-	FlapLimit    int           // number of returns within FlapWindow up to which a node is not held back
-	FlapHold     time.Duration // time for which the next return is held back; it doubles with each further one, up to 64 times FlapHold
+	MaxMissing     float64       // share of a slice's members, from 0 to 1, whose absence from a list is applied without confirmation
+	ConfirmAfter   time.Duration // age at which an unchanged list is taken as confirmed; 0 for never
+	Drivers        int           // number of drivers that follow the same list; 0 if unknown
+	DriversPerStep int           // number of drivers that may connect to a new node within Step, on average
+	Step           time.Duration
+	NodesPerStep   int           // number of new nodes that one driver adds within Step, on average
+	FlapWindow     time.Duration // window over which returns of a node to ready are counted
+	FlapLimit      int           // number of returns within FlapWindow up to which a node is not held back
+	FlapHold       time.Duration // time for which the next return is held back; it doubles with each further one, up to 64 times FlapHold
 }
 
 // Defaults returns a Config that suits most sites.
 func Defaults() Config {
-	return Config{MostLost: 0.34, ConfirmAfter: 2 * time.Minute, Together: 4, Step: 500 * time.Millisecond, OwnPace: 16,
+	return Config{MaxMissing: 0.34, ConfirmAfter: 2 * time.Minute, DriversPerStep: 4, Step: 500 * time.Millisecond, NodesPerStep: 16,
 		FlapWindow: time.Minute, FlapLimit: 3, FlapHold: 5 * time.Second}
 }
 
@@ -82,8 +82,8 @@
 	holdCount      int
 }
 
-// Module is the membership of one driver. Times are on the caller's clock. It is not safe for concurrent use.
-type Module struct {
+// Tracker is the membership of one driver. Times are on the caller's clock. It is not safe for concurrent use.
+type Tracker struct {
 	cfg       Config
 	rng       *rand.Rand
 	members   map[string]*member
@@ -97,28 +97,28 @@
 
 // New returns the membership of a driver that knows no node yet. The seed determines the delays of new members; drivers must not share a seed,
 // or they all connect to a new node at once.
-func New(cfg Config, seed uint64) *Module {
-	return &Module{cfg: cfg, rng: rand.New(rand.NewPCG(seed, 0x6d656d62)), members: map[string]*member{}}
+func New(cfg Config, seed uint64) *Tracker {
+	return &Tracker{cfg: cfg, rng: rand.New(rand.NewPCG(seed, 0x6d656d62)), members: map[string]*member{}}
 }
 
 // List applies a list that has passed validation.
-func (m *Module) List(now time.Duration, set *inventory.Set) Change {
+func (m *Tracker) List(now time.Duration, set *inventory.Set) Change {
 	m.set, m.setAt, m.confirmed = set, now, false
 	return m.apply(now)
 }
 
 // Confirm confirms the newest list: the nodes that are missing from it are removed.
-func (m *Module) Confirm(now time.Duration) Change {
+func (m *Tracker) Confirm(now time.Duration) Change {
 	m.confirmed = true
 	return m.apply(now)
 }
 
 // Tick applies the changes whose time has come.
-func (m *Module) Tick(now time.Duration) Change { return m.apply(now) }
+func (m *Tracker) Tick(now time.Duration) Change { return m.apply(now) }
 
-// Wake returns the time at which Tick has to be called next. It returns false if only a list, a confirmation
+// NextTick returns the time at which Tick has to be called next. It returns false if only a list, a confirmation
 // or a resolver can change anything.
-func (m *Module) Wake() (at time.Duration, ok bool) {
+func (m *Tracker) NextTick() (at time.Duration, ok bool) {
 	candidate := func(t time.Duration) {
 		if !ok || t < at {
 			at, ok = t, true
@@ -135,7 +135,7 @@
 	return at, ok
 }
 
-func (m *Module) apply(now time.Duration) Change {
+func (m *Tracker) apply(now time.Duration) Change {
 	if m.set == nil {
 		return Change{}
 	}
@@ -165,7 +165,7 @@
 
 // update applies a listed node and returns its member if the node is new, has moved or has returned to ready, and so
 // has to wait for its delay.
-func (m *Module) update(now time.Duration, n *inventory.Node) *member {
+func (m *Tracker) update(now time.Duration, n *inventory.Node) *member {
 	k := m.members[n.Name]
 	if k == nil {
 		k = &member{node: *n}
@@ -189,14 +189,14 @@
 
 // schedule sets when new members come into force. The members of a driver's first list do so at once, since a driver
 // that starts must serve.
-func (m *Module) schedule(now time.Duration, added []*member) {
+func (m *Tracker) schedule(now time.Duration, added []*member) {
 	if !m.started {
 		for _, k := range added {
 			k.due = now
 		}
 		return
 	}
-	steps := max(float64(m.cfg.Drivers)/float64(max(m.cfg.Together, 1)), float64(len(added))/float64(max(m.cfg.OwnPace, 1)))
+	steps := max(float64(m.cfg.Drivers)/float64(max(m.cfg.DriversPerStep, 1)), float64(len(added))/float64(max(m.cfg.NodesPerStep, 1)))
 	window := time.Duration(0)
 	if steps > 1 {
 		window = time.Duration(steps * float64(m.cfg.Step))
@@ -214,7 +214,7 @@
 
 // handleMissing removes the nodes that the list no longer has, or keeps them in force if too many of a slice, or its
 // last ready member, are missing: a truncated list would otherwise take a slice out of service.
-func (m *Module) handleMissing(listed map[string]bool) {
+func (m *Tracker) handleMissing(listed map[string]bool) {
 	present, ready, missing := map[string]int{}, map[string]int{}, map[string][]*member{}
 	for name, k := range m.members {
 		if k.removed {
@@ -235,7 +235,7 @@
 	for s, lost := range missing {
 		all := float64(present[s] + len(lost))
 		lostReady := slices.ContainsFunc(lost, func(k *member) bool { return k.node.State == inventory.Ready })
-		implausible := float64(len(lost))/all > m.cfg.MostLost || lostReady && ready[s] == 0
+		implausible := float64(len(lost))/all > m.cfg.MaxMissing || lostReady && ready[s] == 0
 		for _, k := range lost {
 			k.removalHeld = implausible && !m.confirmed
 			if !k.removalHeld {
@@ -245,7 +245,7 @@
 	}
 }
 
-func (m *Module) result() Change {
+func (m *Tracker) result() Change {
 	var c Change
 	for name, k := range m.members {
 		switch {
--- a/membership/membership_test.go
+++ b/membership/membership_test.go
@@ -74,7 +74,7 @@
 	m := New(Defaults(), 1)
 	m.List(0, set(sixNodes()...))
 	m.List(1*sec, set(sixNodes()[:2]...))
-	at, ok := m.Wake()
+	at, ok := m.NextTick()
 	if !ok || at != 1*sec+Defaults().ConfirmAfter {
 		t.Fatalf("next tick at %v, %v", at, ok)
 	}
@@ -199,7 +199,7 @@
 		}
 		observe(sec, m.List(sec, set(list...)))
 		for {
-			at, ok := m.Wake()
+			at, ok := m.NextTick()
 			if !ok {
 				break
 			}
@@ -254,7 +254,7 @@
 			}
 		}
 		for range 1000 {
-			at, ok := m.Wake()
+			at, ok := m.NextTick()
 			if !ok {
 				break
 			}
@@ -288,21 +288,21 @@
 func TestTwoNamesAtOneAddress(t *testing.T) {
 	m := New(Defaults(), 1)
 	m.List(0, listOf("db1", "db2", "db3"))
-	m.Resolved(1, addresses(map[string]string{"db1": "a:1", "db2": "b:1", "db3": "c:1", "db4": "a:1"}))
+	m.SetAddresses(1, addresses(map[string]string{"db1": "a:1", "db2": "b:1", "db3": "c:1", "db4": "a:1"}))
 	c := m.List(time.Second, listOf("db1", "db2", "db3", "db4"))
 	if len(c.Members) != 3 || len(c.Held) != 1 || c.Held[0].Node != "db4" || !strings.Contains(c.Held[0].Why, "db1") {
 		t.Fatalf("%+v", c)
 	}
-	if _, ok := m.Wake(); ok {
+	if _, ok := m.NextTick(); ok {
 		t.Error("a tick is requested although only a list or a resolver can change anything")
 	}
-	if c = m.Resolved(2*time.Second, addresses(map[string]string{"db1": "a:1", "db4": "d:1"})); len(c.Members) != 4 {
+	if c = m.SetAddresses(2*time.Second, addresses(map[string]string{"db1": "a:1", "db4": "d:1"})); len(c.Members) != 4 {
 		c = m.Tick(time.Minute)
 	}
 	if len(c.Members) != 4 || len(c.Held) != 0 {
 		t.Fatalf("with different addresses: %+v", c)
 	}
-	c = m.Resolved(3*time.Minute, addresses(map[string]string{"db1": "a:1", "db4": "a:1"}))
+	c = m.SetAddresses(3*time.Minute, addresses(map[string]string{"db1": "a:1", "db4": "a:1"}))
 	if len(c.Members) != 4 || len(c.Shared) != 2 {
 		t.Fatalf("a resolved address removed a node, or the shared address is not reported: %+v", c)
 	}
@@ -334,7 +334,7 @@
 func TestAllAtOneAddress(t *testing.T) {
 	m := New(Defaults(), 1)
 	m.List(0, listOf("db1", "db2", "db3"))
-	if c := m.Resolved(1, addresses(map[string]string{"db1": "a:1", "db2": "a:1", "db3": "a:1"})); len(c.Members) != 3 || c.Changed || len(c.Shared) != 3 {
+	if c := m.SetAddresses(1, addresses(map[string]string{"db1": "a:1", "db2": "a:1", "db3": "a:1"})); len(c.Members) != 3 || c.Changed || len(c.Shared) != 3 {
 		t.Errorf("%+v", c)
 	}
 }
--- a/position/position.go
+++ b/position/position.go
@@ -23,12 +23,12 @@
 	"time"
 )
 
-// Unknown is the LSN of a commit that certainly happened but whose position was not reported. It is greater than any
+// UnknownLSN is the LSN of a commit that certainly happened but whose position was not reported. It is greater than any
 // other LSN, so that only the present state of its timeline satisfies it.
-const Unknown = math.MaxUint64
+const UnknownLSN = math.MaxUint64
 
 // Present is a position that only the present state of a slice satisfies, whatever its timeline is by then.
-var Present = Position{Timeline: math.MaxUint32, LSN: Unknown}
+var Present = Position{Timeline: math.MaxUint32, LSN: UnknownLSN}
 
 // Position is a point in the history of a slice: the timeline, the byte in its log (PostgreSQL's LSN), and
 // transactions. On a replica the LSN determines what is visible. A primary writes a commit to its log before it makes
@@ -62,7 +62,7 @@
 }
 
 // IsPresent reports whether p requires the present state of the slice.
-func (p Position) IsPresent() bool { return p.Timeline == Present.Timeline && p.LSN == Unknown }
+func (p Position) IsPresent() bool { return p.Timeline == Present.Timeline && p.LSN == UnknownLSN }
 
 // Covers reports whether a node at p has everything up to q in the same history: neither p's timeline nor its LSN is
 // lower, and its transactions include those of q. The timeline alone is not enough: a replica that follows a newer
@@ -87,7 +87,7 @@
 	if p.IsPresent() {
 		return "present"
 	}
-	if p.LSN == Unknown {
+	if p.LSN == UnknownLSN {
 		return fmt.Sprintf("%d:unknown", p.Timeline)
 	}
 	return fmt.Sprintf("%d:%X/%X", p.Timeline, p.LSN>>32, uint32(p.LSN))
@@ -129,16 +129,16 @@
 // Timeline returns the highest timeline seen so far, 0 before any.
 func (c *Clock) Timeline() uint32 { return c.timeline }
 
-// Seen records that a node is on a timeline. If it is higher than any before, all bounds are dropped (forks stay), and
+// ObserveTimeline records that a node is on a timeline. If it is higher than any before, all bounds are dropped (forks stay), and
 // observations of lower timelines are ignored from now on, as their primaries are superseded.
-func (c *Clock) Seen(timeline uint32) {
+func (c *Clock) ObserveTimeline(timeline uint32) {
 	if timeline > c.timeline {
 		*c = Clock{timeline: timeline, forks: c.forks, lower: c.lower[:0], upper: c.upper[:0]}
 	}
 }
 
-// Forked records the fork of a timeline: the last position that its successor kept.
-func (c *Clock) Forked(at Position) {
+// ObserveFork records the fork of a timeline: the last position that its successor kept.
+func (c *Clock) ObserveFork(at Position) {
 	if c.forks == nil {
 		c.forks = map[uint32]uint64{}
 	}
@@ -157,7 +157,7 @@
 // Lost reports whether a promotion is known to have dropped p from the present history. It is false if the fork or
 // p's LSN is not known.
 func (c *Clock) Lost(p Position) bool {
-	if p.LSN == Unknown {
+	if p.LSN == UnknownLSN {
 		return false
 	}
 	for t := p.Timeline; t < c.timeline; t++ {
@@ -168,11 +168,11 @@
 	return false
 }
 
-// Primary records that the primary's log was at p at some time between sent and received. It returns false and records
+// ObservePrimary records that the primary's log was at p at some time between sent and received. It returns false and records
 // no bound if p is on a superseded timeline, its LSN is unknown or received is before sent.
-func (c *Clock) Primary(p Position, sent, received time.Duration) bool {
-	c.Seen(p.Timeline)
-	if p.Timeline < c.timeline || p.LSN == Unknown || received < sent {
+func (c *Clock) ObservePrimary(p Position, sent, received time.Duration) bool {
+	c.ObserveTimeline(p.Timeline)
+	if p.Timeline < c.timeline || p.LSN == UnknownLSN || received < sent {
 		return false
 	}
 	if !c.observed || received < c.firstReceived {
@@ -219,7 +219,7 @@
 	switch {
 	case !c.observed || p.Timeline > c.timeline:
 		return 0, false
-	case p.LSN == Unknown && p.Timeline < c.timeline:
+	case p.LSN == UnknownLSN && p.Timeline < c.timeline:
 		return c.firstReceived, true // a member proven on the newer timeline has all that the older one kept
 	}
 	i := sort.Search(len(c.lower), func(i int) bool { return c.lower[i].lsn >= p.LSN })
@@ -229,17 +229,17 @@
 	return c.lower[i].at, true
 }
 
-// Newest returns when the request of the newest observation of the primary was sent, and false before the first.
-func (c *Clock) Newest() (time.Duration, bool) {
+// LastObserved returns when the request of the newest observation of the primary was sent, and false before the first.
+func (c *Clock) LastObserved() (time.Duration, bool) {
 	if len(c.lower) == 0 {
 		return 0, false
 	}
 	return c.lower[len(c.lower)-1].at, true
 }
 
-// After returns a position that the primary's log reached at some time after t, and false if none was observed.
+// PositionAfter returns a position that the primary's log reached at some time after t, and false if none was observed.
 // Whatever was committed by t on the clock's timeline is at or before it.
-func (c *Clock) After(t time.Duration) (Position, bool) {
+func (c *Clock) PositionAfter(t time.Duration) (Position, bool) {
 	i := sort.Search(len(c.lower), func(i int) bool { return c.lower[i].at > t })
 	if i == len(c.lower) {
 		return Position{}, false
--- a/position/position_test.go
+++ b/position/position_test.go
@@ -94,10 +94,10 @@
 		}
 		var c Clock
 		for _, i := range rapid.Permutation(seq(len(all))).Draw(t, "order") {
-			c.Primary(all[i].p, all[i].sent, all[i].received)
+			c.ObservePrimary(all[i].p, all[i].sent, all[i].received)
 		}
 		if rapid.Bool().Draw(t, "last timeline seen") {
-			c.Seen(last)
+			c.ObserveTimeline(last)
 		}
 		tl := c.Timeline()
 		for _, p := range h.promotions[:tl] {
@@ -140,11 +140,11 @@
 		at := rapid.SliceOfN(rapid.IntRange(0, int(h.end)), n, n).Draw(t, "at")
 		for _, i := range seq(n) {
 			when := time.Duration(at[i])
-			a.Primary(h.positionAt(1, when), when-3, when+5)
+			a.ObservePrimary(h.positionAt(1, when), when-3, when+5)
 		}
 		for _, i := range rapid.Permutation(seq(n)).Draw(t, "order") {
 			when := time.Duration(at[i])
-			b.Primary(h.positionAt(1, when), when-3, when+5)
+			b.ObservePrimary(h.positionAt(1, when), when-3, when+5)
 		}
 		for lsn := uint64(90); lsn < 600; lsn += 7 {
 			p := Position{Timeline: 1, LSN: lsn}
@@ -161,18 +161,18 @@
 
 func TestUnknownRequiresThePresent(t *testing.T) {
 	var c Clock
-	c.Primary(Position{Timeline: 1, LSN: 100}, 10, 12)
-	if _, ok := c.CommittedBy(Position{Timeline: 1, LSN: Unknown}); ok {
+	c.ObservePrimary(Position{Timeline: 1, LSN: 100}, 10, 12)
+	if _, ok := c.CommittedBy(Position{Timeline: 1, LSN: UnknownLSN}); ok {
 		t.Error("the time of a commit at an unknown position was bounded")
 	}
 	if _, ok := c.CommittedBy(Position{Timeline: 2, LSN: 50}); ok {
 		t.Error("the time of a commit on an unseen timeline was bounded")
 	}
-	c.Primary(Position{Timeline: 2, LSN: 110}, 30, 33)
-	if by, ok := c.CommittedBy(Position{Timeline: 1, LSN: Unknown}); !ok || by != 33 {
+	c.ObservePrimary(Position{Timeline: 2, LSN: 110}, 30, 33)
+	if by, ok := c.CommittedBy(Position{Timeline: 1, LSN: UnknownLSN}); !ok || by != 33 {
 		t.Errorf("after the promotion the commit is bounded by %v, %v, want 33", by, ok)
 	}
-	if c.Primary(Position{Timeline: 1, LSN: 500}, 40, 41) {
+	if c.ObservePrimary(Position{Timeline: 1, LSN: 500}, 40, 41) {
 		t.Error("an observation of a superseded primary was recorded")
 	}
 	if _, ok := c.AppliedBy(Position{Timeline: 1, LSN: 500}); ok {
@@ -183,7 +183,7 @@
 func TestPointsAreBounded(t *testing.T) {
 	var c Clock
 	for i := range 20 * maxPoints {
-		c.Primary(Position{Timeline: 1, LSN: uint64(i)}, time.Duration(i), time.Duration(i+1))
+		c.ObservePrimary(Position{Timeline: 1, LSN: uint64(i)}, time.Duration(i), time.Duration(i+1))
 	}
 	if len(c.lower) > maxPoints || len(c.upper) > maxPoints {
 		t.Fatalf("%d and %d points kept", len(c.lower), len(c.upper))
@@ -194,7 +194,7 @@
 }
 
 func TestParseLSN(t *testing.T) {
-	for text, want := range map[string]uint64{"0/0": 0, "16/B374D848": 0x16b374d848, "FFFFFFFF/FFFFFFFF": Unknown} {
+	for text, want := range map[string]uint64{"0/0": 0, "16/B374D848": 0x16b374d848, "FFFFFFFF/FFFFFFFF": UnknownLSN} {
 		if got, err := ParseLSN(text); err != nil || got != want {
 			t.Errorf("%s: %x, %v", text, got, err)
 		}
@@ -210,7 +210,7 @@
 	var c Clock
 	for i := range b.N {
 		now := time.Duration(i)
-		c.Primary(Position{Timeline: 1, LSN: uint64(i)}, now, now+3)
+		c.ObservePrimary(Position{Timeline: 1, LSN: uint64(i)}, now, now+3)
 		c.AppliedBy(Position{Timeline: 1, LSN: uint64(i) / 2})
 	}
 }
--- a/position/transactions.go
+++ b/position/transactions.go
@@ -77,9 +77,9 @@
 
 // Snapshot is the result of PostgreSQL's pg_current_snapshot.
 type Snapshot struct {
-	Oldest uint64   // xmin: all transactions below it are finished
-	Next   uint64   // xmax: no transaction from it on was finished
-	InUse  []uint64 // xip_list: the running transactions between these, in ascending order; a server in recovery reports none
+	Oldest  uint64   // xmin: all transactions below it are finished
+	Next    uint64   // xmax: no transaction from it on was finished
+	Running []uint64 // xip_list: the running transactions between these, in ascending order; a server in recovery reports none
 }
 
 // ParseSnapshot parses PostgreSQL's text form of a snapshot, "xmin:xmax:xip_list". It returns an error if the text has
@@ -105,9 +105,9 @@
 		if err != nil {
 			return s, err
 		}
-		s.InUse = append(s.InUse, id)
+		s.Running = append(s.Running, id)
 	}
-	slices.Sort(s.InUse)
+	slices.Sort(s.Running)
 	return s, nil
 }
 
@@ -119,21 +119,21 @@
 	return id, nil
 }
 
-// Over returns transactions that are finished and visible on the primary that reported the snapshot: all below the
+// Finished returns transactions that are finished and visible on the primary that reported the snapshot: all below the
 // second oldest running one, or below xmax if fewer run, except the oldest running one.
-func (s *Snapshot) Over() Transactions {
+func (s *Snapshot) Finished() Transactions {
 	out := Transactions{Below: s.Next}
-	if len(s.InUse) > 0 {
-		out.Except = s.InUse[0]
+	if len(s.Running) > 0 {
+		out.Except = s.Running[0]
 	}
-	if len(s.InUse) > 1 {
-		out.Below = s.InUse[1]
+	if len(s.Running) > 1 {
+		out.Below = s.Running[1]
 	}
 	return out.normal()
 }
 
-// Shown returns every transaction that the replica which reported the snapshot may have shown: all below xmax except
+// MaybeVisible returns every transaction that the replica which reported the snapshot may have shown: all below xmax except
 // xmin, the oldest one that was still running. The other running ones are not reported and count as shown.
-func (s *Snapshot) Shown() Transactions {
+func (s *Snapshot) MaybeVisible() Transactions {
 	return Transactions{Below: s.Next, Except: s.Oldest}.normal()
 }
--- a/position/transactions_test.go
+++ b/position/transactions_test.go
@@ -58,8 +58,8 @@
 		{"10:20:15,10", Transactions{Below: 15, Except: 10}, Transactions{Below: 20, Except: 10}},
 	} {
 		s, err := ParseSnapshot(c.text)
-		if err != nil || s.Over() != c.over || s.Shown() != c.shown {
-			t.Errorf("%s: %v, over %v, shown %v", c.text, err, s.Over(), s.Shown())
+		if err != nil || s.Finished() != c.over || s.MaybeVisible() != c.shown {
+			t.Errorf("%s: %v, over %v, shown %v", c.text, err, s.Finished(), s.MaybeVisible())
 		}
 	}
 	for text, want := range map[string]string{"20": "is not a snapshot", "a:20:": "transaction id \"a\"", "10:20:x": "\"x\"",
--- a/server/admit.go
+++ b/server/admit.go
@@ -34,7 +34,7 @@
 	}
 	cfg := s.Admission
 	cfg.MaxBytes = s.Within(cfg.MaxBytes)
-	cfg.MaxOpen, cfg.MaxAdvice, cfg.Classes = s.MaxOpen, s.MaxRetryAfter, admission.ClassesOf(s.Router().Classes)
+	cfg.MaxOpen, cfg.MaxRetryAfter, cfg.Classes = s.MaxOpen, s.MaxRetryAfter, admission.ClassesOf(s.Router().Classes)
 	var err error
 	f.gate, err = admission.New(cfg, seed)
 	return f, err
@@ -46,24 +46,24 @@
 	if f.gate == nil {
 		return nil, nil
 	}
-	ask := admission.Ask{Client: clientOf(ctx), Slice: req.Slice, Class: class, Bytes: proto.Size(req), Attempt: attemptOf(ctx)}
+	ask := admission.Request{Client: clientOf(ctx), Slice: req.Slice, Class: class, Bytes: proto.Size(req), Attempt: attemptOf(ctx)}
 	f.mu.Lock()
-	t, v := f.gate.Arrive(f.now(), ask)
+	t, v := f.gate.Admit(f.now(), ask)
 	f.mu.Unlock()
-	if v.Why == admission.Taken {
+	if v.Reason == admission.Admitted {
 		return t, nil
 	}
-	pushback := strconv.FormatInt(v.After.Milliseconds(), 10)
+	pushback := strconv.FormatInt(v.RetryAfter.Milliseconds(), 10)
 	if v.NoRetry {
 		pushback = "-1"
 	}
 	grpc.SetTrailer(ctx, metadata.Pairs(carry.Pushback, pushback)) // an error means that the call has ended
-	return nil, &driver.Answer{Status: driver.Refused, Cause: causes[v.Why], RetryAfter: v.After}
+	return nil, &driver.Answer{Status: driver.Refused, Cause: causes[v.Reason], RetryAfter: v.RetryAfter}
 }
 
-var causes = map[admission.Why]driver.Cause{admission.Open: driver.CauseMaxOpen, admission.Bytes: driver.CauseBytes, admission.Full: driver.CauseFull,
-	admission.Share: driver.CauseShare, admission.Worth: driver.CauseFull, admission.Late: driver.CauseLate,
-	admission.Memory: driver.CauseMemory, admission.Retried: driver.CauseRetries}
+var causes = map[admission.Reason]driver.Cause{admission.TooManyOpen: driver.CauseMaxOpen, admission.TooManyBytes: driver.CauseRequestBytes, admission.PoolFull: driver.CauseConcurrencyLimit,
+	admission.ClientShare: driver.CauseClientShare, admission.LowValue: driver.CauseConcurrencyLimit, admission.LoopLate: driver.CauseOverload,
+	admission.MemoryShort: driver.CauseMemory, admission.RetryBudgetSpent: driver.CauseRetryBudget}
 
 // release returns a ticket with the outcome of its request.
 func (f *frontEnd) release(t *admission.Ticket, a *driver.Answer, err error) {
@@ -89,7 +89,7 @@
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.gate.Looped(f.now(), waited)
+	f.gate.ObserveLoopDelay(f.now(), waited)
 }
 
 // stats returns the gate's current figures, or none if admission control is off.
--- a/server/conn.go
+++ b/server/conn.go
@@ -168,7 +168,7 @@
 	if err != nil {
 		return &driver.DialError{Err: err}
 	}
-	return &driver.DialError{Full: driver.Judge(&driver.Result{Err: e}).Outcome == balance.OutcomeFull, Err: e}
+	return &driver.DialError{Full: driver.Classify(&driver.Result{Err: e}).Outcome == balance.OutcomeFull, Err: e}
 }
 
 // startExchange sends an exchange. The loop calls it, so it makes one non-blocking write; a goroutine writes what the
@@ -292,7 +292,7 @@
 	if j.stream == nil {
 		return nil
 	}
-	c.report(driver.Event{Kind: driver.EventOpened, Conn: c.id, Result: x.result})
+	c.report(driver.Event{Kind: driver.EventStreamStarted, Conn: c.id, Result: x.result})
 	select {
 	case <-j.stream.opened:
 		return nil
--- a/server/control.go
+++ b/server/control.go
@@ -101,7 +101,7 @@
 			var views []driver.SliceView
 			stopErr := s.loop.withEngine(r.Context(), func(e *driver.Engine) {
 				if err = apply(e, r.PathValue("name")); err == nil {
-					views = e.Ledgers()
+					views = e.SliceViews()
 				}
 			})
 			switch {
@@ -121,7 +121,7 @@
 
 func (s *Server) handleTopology(w http.ResponseWriter, r *http.Request) {
 	var views []driver.SliceView
-	if err := s.loop.withEngine(r.Context(), func(e *driver.Engine) { views = e.Ledgers() }); err != nil {
+	if err := s.loop.withEngine(r.Context(), func(e *driver.Engine) { views = e.SliceViews() }); err != nil {
 		http.Error(w, "the driver is stopping", http.StatusServiceUnavailable)
 		return
 	}
@@ -138,13 +138,13 @@
 }
 
 func (s *Server) topologySlice(v driver.SliceView, now time.Duration) TopologySlice {
-	t := TopologySlice{Name: v.Name, Term: v.Verdict.Term, Primary: v.Verdict.Primary, Why: v.Verdict.Why, Rivals: v.Verdict.Rivals, System: v.Verdict.System, Nodes: []TopologyNode{}}
+	t := TopologySlice{Name: v.Name, Term: v.Verdict.Term, Primary: v.Verdict.Primary, Why: v.Verdict.Evidence, Rivals: v.Verdict.Rivals, System: v.Verdict.System, Nodes: []TopologyNode{}}
 	for _, n := range v.Nodes {
-		t.Nodes = append(t.Nodes, TopologyNode{n.Node, n.Standing.String(), n.Claim.Role.String(), n.Claim.Timeline, n.Claim.LSN, n.Claim.Upstream, n.Claim.Channel.String(),
-			(now - n.Claim.Heard).Seconds(), n.Fenced})
+		t.Nodes = append(t.Nodes, TopologyNode{n.Node, n.Status.String(), n.Claim.Role.String(), n.Claim.Timeline, n.Claim.LSN, n.Claim.Upstream, n.Claim.Channel.String(),
+			(now - n.Claim.Received).Seconds(), n.Fenced})
 	}
 	for _, h := range v.History {
-		rec := TopologyRecord{Number: h.Number, At: time.Now().Add(h.At - now), What: h.What, Node: h.Claim.Node, Timeline: h.Claim.Timeline, LSN: h.Claim.LSN}
+		rec := TopologyRecord{Number: h.Number, At: time.Now().Add(h.At - now), What: h.Text, Node: h.Claim.Node, Timeline: h.Claim.Timeline, LSN: h.Claim.LSN}
 		if h.Claim.Timeline > 0 {
 			rec.Said, rec.By = h.Claim.Role.String(), h.Claim.Channel.String()
 		}
--- a/server/exchange.go
+++ b/server/exchange.go
@@ -188,8 +188,8 @@
 	if x.result.Done || x.result.Err != nil {
 		return nil // the answer is valid; only its position is missing
 	}
-	x.result.Err, x.result.Asking = e, len(x.remaining) > 0 && (x.remaining[0] == phaseFacts || x.remaining[0] == phaseGuard)
-	x.result.Guarded = len(x.remaining) > 0 && x.remaining[0] == phaseGuard && guardSQLStates[e.Code]
+	x.result.Err, x.result.InFactsQuery = e, len(x.remaining) > 0 && (x.remaining[0] == phaseFacts || x.remaining[0] == phaseGuard)
+	x.result.GuardFailed = len(x.remaining) > 0 && x.remaining[0] == phaseGuard && guardSQLStates[e.Code]
 	return nil
 }
 
@@ -227,7 +227,7 @@
 		x.reject("25001", "the statement left a transaction open; send a single, self-contained statement")
 		return true, nil
 	}
-	if x.result.Began && x.result.Err == nil {
+	if x.result.Started && x.result.Err == nil {
 		x.result.Done = true
 	}
 	return len(x.remaining) == 0, nil
@@ -235,7 +235,7 @@
 
 // currentFacts returns the destination of the next facts: those before a read, those after it, or the only ones.
 func (x *exchange) currentFacts() *driver.Facts {
-	if x.kind == exchangeRead && x.result.Began {
+	if x.kind == exchangeRead && x.result.Started {
 		return &x.result.After
 	}
 	return &x.result.Facts
@@ -268,7 +268,7 @@
 func (x *exchange) handleStatement(typ byte, body []byte) (err error) {
 	switch typ {
 	case pgwire.MsgParseComplete:
-		x.result.Began = true
+		x.result.Started = true
 	case pgwire.MsgBindComplete, pgwire.MsgNoData, pgwire.MsgPortalSuspended:
 	case pgwire.MsgRowDescription:
 		columns, err := pgwire.ParseRowDescription(body)
--- a/server/facts.go
+++ b/server/facts.go
@@ -187,9 +187,9 @@
 			return err
 		}
 		if f.Replica {
-			f.Shown = s.Shown()
+			f.MaybeVisible = s.MaybeVisible()
 		} else {
-			f.Position.Transactions = s.Over()
+			f.Position.Transactions = s.Finished()
 		}
 	}
 	if received != "" && f.Replica {
--- a/server/follow.go
+++ b/server/follow.go
@@ -31,7 +31,7 @@
 	settings      *settings.Settings
 	log           *zap.Logger
 	watcher       *inventory.Watcher
-	module        *membership.Module
+	module        *membership.Tracker
 	start         time.Time
 	digest        uint64 // of the inventory files at the start
 	updates       chan inventory.Update
@@ -131,7 +131,7 @@
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
-		if at, ok := f.module.Wake(); ok {
+		if at, ok := f.module.NextTick(); ok {
 			timer.Reset(max(0, at-f.now()))
 		}
 		var c membership.Change
@@ -152,7 +152,7 @@
 			f.resolver.request(u.Set)
 			c = f.module.List(f.now(), u.Set)
 		case found := <-f.resolver.results:
-			c = f.module.Resolved(f.now(), found)
+			c = f.module.SetAddresses(f.now(), found)
 		case reply = <-f.confirmations:
 			c = f.module.Confirm(f.now())
 			f.log.Info("removal of the nodes that the inventory lacks is confirmed")
@@ -233,8 +233,8 @@
 		}
 	}
 	for _, n := range nodes {
-		if n.Failing > 0 {
-			st.Unreachable = append(st.Unreachable, Unreachable{n.Name, n.Slice, n.Address, time.Now().Add(n.Failing - now), n.Why})
+		if n.FailingSince > 0 {
+			st.Unreachable = append(st.Unreachable, Unreachable{n.Name, n.Slice, n.Address, time.Now().Add(n.FailingSince - now), n.Failure})
 		}
 		for _, s := range n.Facts.Standbys {
 			if ip, name, _ := strings.Cut(s, " "); !n.Facts.Replica && !known[n.Slice+" "+ip] && !known[n.Slice+" "+name] {
--- a/server/loop.go
+++ b/server/loop.go
@@ -59,7 +59,7 @@
 	var cmds []driver.Command
 	for {
 		due := time.Duration(math.MaxInt64)
-		if at, ok := l.engine.Wake(); ok {
+		if at, ok := l.engine.NextTimer(); ok {
 			timer.Reset(max(0, at-l.now()))
 			due = at
 		}
@@ -134,7 +134,7 @@
 		})
 	case driver.CommandSend:
 		l.send(cmd)
-	case driver.CommandAsk:
+	case driver.CommandReadFacts:
 		if c := l.conns[cmd.Conn]; c != nil {
 			l.buf = c.startExchange(job{kind: exchangePoll, sink: &reply{}}, l.buf)
 		}
@@ -147,14 +147,14 @@
 			c.cancel()
 			delete(l.conns, cmd.Conn)
 		}
-	case driver.CommandOpen:
+	case driver.CommandStartStream:
 		if c := l.conns[cmd.Conn]; c != nil {
 			l.calls.open(cmd.Request, cmd.Answer, c.stream)
 		}
 	case driver.CommandAnswer:
 		l.calls.answer(cmd.Request, cmd.Answer)
 	case driver.CommandSubscribe:
-		l.inbox.Put(driver.Event{Kind: driver.EventList, List: listFull, Nodes: l.listNodes()})
+		l.inbox.Put(driver.Event{Kind: driver.EventNodeList, List: listFull, Nodes: l.listNodes()})
 	case driver.CommandLog:
 		l.logLine(cmd)
 	case driver.CommandStopped:
--- a/server/memory.go
+++ b/server/memory.go
@@ -41,7 +41,7 @@
 		}
 		rt.Read(samples)
 		f.mu.Lock()
-		f.gate.Memory(float64(sum(samples)) / limit)
+		f.gate.SetMemoryUse(float64(sum(samples)) / limit)
 		f.mu.Unlock()
 	}
 }
--- a/server/metrics.go
+++ b/server/metrics.go
@@ -74,8 +74,8 @@
 		out <- prometheus.MustNewConstMetric(gateLimit, prometheus.GaugeValue, p.Limit, p.Slice, name)
 		out <- prometheus.MustNewConstMetric(gateOpen, prometheus.GaugeValue, float64(p.Open), p.Slice, name)
 	}
-	out <- prometheus.MustNewConstMetric(gateShedForMemory, prometheus.GaugeValue, float64(st.Tight))
-	out <- prometheus.MustNewConstMetric(gateShedClasses, prometheus.GaugeValue, float64(st.Level))
+	out <- prometheus.MustNewConstMetric(gateShedForMemory, prometheus.GaugeValue, float64(st.MemoryLevel))
+	out <- prometheus.MustNewConstMetric(gateShedClasses, prometheus.GaugeValue, float64(st.LoopLevel))
 }
 
 // streamMetrics collects the counts of open calls and watches.
--- a/server/server.go
+++ b/server/server.go
@@ -77,7 +77,7 @@
 	}
 	cfg := engineConfig(s)
 	if cfg.DriverSessions {
-		if cfg.Sessions, cfg.SessionsWhole, err = loadSessions(s.StateDir, time.Now()); err != nil {
+		if cfg.Sessions, cfg.SessionsComplete, err = loadSessions(s.StateDir, time.Now()); err != nil {
 			log.Warn(err.Error())
 		}
 	}
@@ -121,15 +121,15 @@
 }
 
 func engineConfig(s *settings.Settings) driver.Config {
-	return driver.Config{Router: s.Router(), Halls: s.Halls, DriverSessions: s.RouterTokens, SessionBytes: s.SessionBytes, MaxOpen: s.MaxOpen,
+	return driver.Config{Router: s.Router(), Zones: s.Halls, DriverSessions: s.RouterTokens, SessionBytes: s.SessionBytes, MaxOpen: s.MaxOpen,
 		PoolSize: s.PoolSize, IdleClose: s.IdleClose, Linger: s.Linger, PollTimeout: s.PollTimeout,
-		ClockAge: s.ClockAge, AnswerMargin: s.AnswerMargin, StartWithin: s.StartWithin, CancelWork: s.CancelWork, Tokenless: tokenless(s)}
+		ClockAge: s.ClockAge, AnswerMargin: s.AnswerMargin, StartWithin: s.StartWithin, CancelWork: s.CancelWork, MissingToken: tokenless(s)}
 }
 
-func tokenless(s *settings.Settings) []driver.Tokenless {
-	all := make([]driver.Tokenless, len(s.Classes))
+func tokenless(s *settings.Settings) []driver.MissingTokenPolicy {
+	all := make([]driver.MissingTokenPolicy, len(s.Classes))
 	for i, c := range s.Classes {
-		all[i] = driver.Tokenless(c.Tokenless)
+		all[i] = driver.MissingTokenPolicy(c.Tokenless)
 	}
 	return all
 }
@@ -193,7 +193,7 @@
 	s.mu.Lock()
 	s.nodes = nodes
 	s.mu.Unlock()
-	s.loop.inbox.Put(driver.Event{Kind: driver.EventList, List: balance.ListFull, Nodes: s.nodeList()})
+	s.loop.inbox.Put(driver.Event{Kind: driver.EventNodeList, List: balance.ListFull, Nodes: s.nodeList()})
 }
 
 func (s *Server) nodeList() []driver.Node {
@@ -201,7 +201,7 @@
 	defer s.mu.Unlock()
 	nodes := make([]driver.Node, len(s.nodes))
 	for i, n := range s.nodes {
-		nodes[i] = driver.Node{Name: n.Name, Address: n.Address, Slice: n.Slice, Hall: n.Hall, Life: n.Life, Instance: n.Instance}
+		nodes[i] = driver.Node{Name: n.Name, Address: n.Address, Slice: n.Slice, Zone: n.Hall, Life: n.Life, Instance: n.Instance}
 		if !n.Started.IsZero() {
 			nodes[i].Started = max(1, clockStart+n.Started.Sub(s.startedAt))
 		}
@@ -224,7 +224,7 @@
 	defer cancel()
 	conns, tasks := errgroup.Group{}, errgroup.Group{}
 	s.loop.work = &conns
-	s.loop.inbox.Put(driver.Event{Kind: driver.EventList, List: balance.ListCached, Nodes: s.nodeList()})
+	s.loop.inbox.Put(driver.Event{Kind: driver.EventNodeList, List: balance.ListCached, Nodes: s.nodeList()})
 	tasks.Go(func() error { return s.loop.run(runCtx) })
 	tasks.Go(func() error {
 		if err := s.grpc.Serve(s.listener); err != nil && !errors.Is(err, grpc.ErrServerStopped) {
--- a/server/service.go
+++ b/server/service.go
@@ -63,7 +63,7 @@
 		return nil, s.noMemory("answers in flight to clients use all of admission answer-bytes; retry later, or read it with ExecuteStream")
 	}
 	return &pb.ExecuteResponse{Columns: columnsOf(rep.cols), Rows: rep.rows, CommandTag: rep.commandTag,
-		Token: s.keys.Load().Sign(a.Token, s.scope(req)), Holds: a.Holds.String(), Validator: validatorOf(req, &a), Served: servedOf(&a)}, nil
+		Token: s.keys.Load().Sign(a.Token, s.scope(req)), Holds: a.LowerBound.String(), Validator: validatorOf(req, &a), Served: servedOf(&a)}, nil
 }
 
 // ExecuteStream implements pb.DriverServer.
@@ -104,7 +104,7 @@
 		return sqlStatus(st.sqlError)
 	}
 	if err := sender.send(&pb.ExecuteChunk{Part: &pb.ExecuteChunk_End_{End: &pb.ExecuteChunk_End{
-		CommandTag: st.commandTag, Token: s.keys.Load().Sign(a.Token, s.scope(req)), Holds: a.Holds.String(), Rows: rows}}}, nil); err != nil {
+		CommandTag: st.commandTag, Token: s.keys.Load().Sign(a.Token, s.scope(req)), Holds: a.LowerBound.String(), Rows: rows}}}, nil); err != nil {
 		return err
 	}
 	ended = true
@@ -112,7 +112,7 @@
 }
 
 // admitAndAwait admits a call at the gate and waits for its final answer. A returned error is the gRPC status.
-func (s *service) admitAndAwait(ctx context.Context, req *pb.ExecuteRequest, ask driver.Ask, c *call, forward forwardFunc) (driver.Answer, error) {
+func (s *service) admitAndAwait(ctx context.Context, req *pb.ExecuteRequest, ask driver.RequestParams, c *call, forward forwardFunc) (driver.Answer, error) {
 	t, refusal := s.loop.frontEnd.admit(ctx, req, ask.Class)
 	if refusal != nil {
 		return *refusal, statusOf(refusal)
@@ -124,13 +124,13 @@
 
 // await passes a call to the loop and waits for its final answer. It forwards the rows of a streamed answer as they
 // arrive. A returned error is the gRPC status.
-func (s *service) await(ctx context.Context, ask driver.Ask, c *call, forward forwardFunc) (driver.Answer, error) {
+func (s *service) await(ctx context.Context, ask driver.RequestParams, c *call, forward forwardFunc) (driver.Answer, error) {
 	id, ok := s.loop.calls.Add(c)
 	if !ok {
 		a := driver.Answer{Status: driver.Refused, Cause: driver.CauseStopping}
 		return a, statusOf(&a)
 	}
-	s.loop.inbox.Put(driver.Event{Kind: driver.EventRequest, Request: id, Ask: ask})
+	s.loop.inbox.Put(driver.Event{Kind: driver.EventRequest, Request: id, Params: ask})
 	var rows chan queuedRow
 	var full chan struct{}
 	// The loop answers within the deadline unless it is itself late. Then the answer is given here, and the loop
@@ -139,7 +139,7 @@
 	defer lateTimer.Stop()
 	abandon := func(err error) (driver.Answer, error) {
 		s.loop.calls.Remove(id)
-		s.loop.inbox.Put(driver.Event{Kind: driver.EventLeft, Request: id})
+		s.loop.inbox.Put(driver.Event{Kind: driver.EventClientLeft, Request: id})
 		return driver.Answer{}, err
 	}
 	for {
@@ -181,9 +181,9 @@
 // repeat, otherwise failed.
 func (s *service) lateAnswer(class int) driver.Answer {
 	if s.settings.Classes[class].Effect == balance.Safe {
-		return driver.Answer{Status: driver.Refused, Cause: driver.CauseLate, RetryAfter: s.settings.MaxRetryAfter / 2}
+		return driver.Answer{Status: driver.Refused, Cause: driver.CauseOverload, RetryAfter: s.settings.MaxRetryAfter / 2}
 	}
-	return driver.Answer{Status: driver.Failed, Cause: driver.CauseLate}
+	return driver.Answer{Status: driver.Failed, Cause: driver.CauseOverload}
 }
 
 // forwardRemaining forwards the queued rows of a streamed answer. The loop reports the end after the last row is
@@ -214,14 +214,14 @@
 }
 
 // prepare validates a request and converts it for the engine and the node connection.
-func (s *service) prepare(ctx context.Context, req *pb.ExecuteRequest) (driver.Ask, *call, error) {
+func (s *service) prepare(ctx context.Context, req *pb.ExecuteRequest) (driver.RequestParams, *call, error) {
 	class := slices.IndexFunc(s.settings.Classes, func(c settings.Class) bool { return c.Name == req.Class })
 	if class < 0 {
-		return driver.Ask{}, nil, badRequest("class", "%q is not configured; known: %s", req.Class, s.classNames())
+		return driver.RequestParams{}, nil, badRequest("class", "%q is not configured; known: %s", req.Class, s.classNames())
 	}
-	ask := driver.Ask{Class: class, Slice: req.Slice, Session: req.Session}
+	ask := driver.RequestParams{Class: class, Slice: req.Slice, Session: req.Session}
 	var err error
-	if ask.Token, ask.Lost, err = s.verifyToken(req.Token, s.scope(req)); err != nil {
+	if ask.Token, ask.TokenLost, err = s.verifyToken(req.Token, s.scope(req)); err != nil {
 		return ask, nil, err
 	}
 	c := &call{maxResultBytes: s.settings.MaxResult, final: make(chan driver.Answer, 1)}
@@ -307,7 +307,7 @@
 }
 
 func servedOf(a *driver.Answer) *pb.Served {
-	v := &pb.Served{Node: a.Node, Hall: a.Hall, Attempts: uint32(a.Attempts)}
+	v := &pb.Served{Node: a.Node, Hall: a.Zone, Attempts: uint32(a.Attempts)}
 	if a.Facts.Known {
 		v.Role, v.Timeline, v.Lsn = pb.Role_ROLE_PRIMARY, a.Facts.Position.Timeline, a.Facts.Position.LSN
 		if a.Facts.Replica {
--- a/server/status.go
+++ b/server/status.go
@@ -26,7 +26,7 @@
 )
 
 // tokenReasons holds the reasons of refusals for which a retry with the same token is of no use.
-var tokenReasons = map[driver.Cause]string{driver.CauseTokenless: "TOKEN_MISSING", driver.CauseTokenLost: "TOKEN_LOST",
+var tokenReasons = map[driver.Cause]string{driver.CauseTokenMissing: "TOKEN_MISSING", driver.CauseTokenLost: "TOKEN_LOST",
 	driver.CauseTokenAhead: "TOKEN_AHEAD"}
 
 // statusOf returns the gRPC status of a refused or failed answer, nil for a served one. docs/outcomes.md has the
@@ -36,17 +36,17 @@
 	case driver.Refused:
 		code, reason := codes.Unavailable, reasonRefused
 		switch a.Cause {
-		case driver.CauseMaxOpen, driver.CauseFull, driver.CauseShare, driver.CauseBytes, driver.CauseMemory, driver.CauseLate, driver.CauseRetries:
+		case driver.CauseMaxOpen, driver.CauseConcurrencyLimit, driver.CauseClientShare, driver.CauseRequestBytes, driver.CauseMemory, driver.CauseOverload, driver.CauseRetryBudget:
 			code = codes.ResourceExhausted
 		case driver.CauseSlice:
 			code = codes.NotFound
-		case driver.CauseClass, driver.CauseForeign:
+		case driver.CauseClass, driver.CauseForeignToken:
 			code = codes.InvalidArgument
-		case driver.CauseTokenless, driver.CauseTokenLost, driver.CauseTokenAhead:
+		case driver.CauseTokenMissing, driver.CauseTokenLost, driver.CauseTokenAhead:
 			code, reason = codes.FailedPrecondition, tokenReasons[a.Cause]
 		}
 		details := []protoadapt.MessageV1{info(reason, nil)}
-		if a.Cause == driver.CauseForeign {
+		if a.Cause == driver.CauseForeignToken {
 			details = append(details, &errdetails.BadRequest{FieldViolations: []*errdetails.BadRequest_FieldViolation{{
 				Field: "token", Description: a.Cause.String()}}})
 		}
--- a/token/token_test.go
+++ b/token/token_test.go
@@ -19,7 +19,7 @@
 func drawTransactions(t *rapid.T) position.Transactions {
 	next := rapid.Uint64Range(0, 6).Draw(t, "next")
 	s := position.Snapshot{Oldest: rapid.Uint64Range(0, next).Draw(t, "oldest"), Next: next}
-	return s.Shown()
+	return s.MaybeVisible()
 }
 
 func drawToken(t *rapid.T) Token {
--- a/topology/bench_test.go
+++ b/topology/bench_test.go
@@ -19,8 +19,8 @@
 			b.ReportAllocs()
 			for i := range b.N {
 				c := &claims[i%members]
-				c.LSN, c.Sent, c.Heard = uint64(i), time.Duration(i)*time.Millisecond, time.Duration(i+1)*time.Millisecond
-				s.Hear(*c)
+				c.LSN, c.Sent, c.Received = uint64(i), time.Duration(i)*time.Millisecond, time.Duration(i+1)*time.Millisecond
+				s.Observe(*c)
 			}
 		})
 	}
--- a/topology/topology.go
+++ b/topology/topology.go
@@ -55,31 +55,31 @@
 	System   uint64        // system identifier of the cluster; 0 if never reported
 	Upstream string        // node that a replica follows; "" if none or not reported
 	Sent     time.Duration // time at which the report was requested
-	Heard    time.Duration // time at which the report was received
+	Received time.Duration // time at which the report was received
 	Channel  Channel
 }
 
-// Standing is the relation of a node to its slice.
-type Standing uint8
+// Status is the relation of a node to its slice.
+type Status uint8
 
 // Standings.
 const (
-	Unheard    Standing = iota // no claim was received yet
-	Follower                   // a replica of the slice
-	Office                     // the primary of the slice
-	Superseded                 // claims to be primary of a lower term
-	Rival                      // claims to be primary of the current term, as does another node
-	Foreign                    // belongs to another cluster
-	Fenced                     // claims to be primary, and an operator has fenced it
+	Unreported Status = iota // no claim was received yet
+	Follower                 // a replica of the slice
+	Incumbent                // the primary of the slice
+	Superseded               // claims to be primary of a lower term
+	Rival                    // claims to be primary of the current term, as does another node
+	Foreign                  // belongs to another cluster
+	Fenced                   // claims to be primary, and an operator has fenced it
 )
 
 // String returns the word shown to operators.
-func (s Standing) String() string {
+func (s Status) String() string {
 	return [...]string{"not heard", "replica", "primary", "superseded", "rival", "of another cluster", "fenced"}[s]
 }
 
-// Takes reports whether requests may be sent to a node of this standing.
-func (s Standing) Takes() bool { return s != Superseded && s != Foreign && s != Rival && s != Fenced }
+// Routable reports whether requests may be sent to a node of this standing.
+func (s Status) Routable() bool { return s != Superseded && s != Foreign && s != Rival && s != Fenced }
 
 // member is the state kept for a node: only the claims that the verdict depends on.
 type member struct {
@@ -112,18 +112,18 @@
 
 // Verdict is the conclusion from all claims.
 type Verdict struct {
-	System  uint64   // system identifier of the slice's cluster; 0 until a node reports one
-	Term    uint32   // current timeline of the cluster
-	Primary string   // "" while no node is accepted as primary
-	Why     string   // the evidence, for operators
-	Rivals  []string // the nodes that claim the current term, if more than one
+	System   uint64   // system identifier of the slice's cluster; 0 until a node reports one
+	Term     uint32   // current timeline of the cluster
+	Primary  string   // "" while no node is accepted as primary
+	Evidence string   // the evidence, for operators
+	Rivals   []string // the nodes that claim the current term, if more than one
 }
 
 // Record is an entry of the history: a change of the verdict, an action of an operator or a loss.
 type Record struct {
 	Number uint64
 	At     time.Duration // time at which its cause was received
-	What   string
+	Text   string
 	Claim  Claim
 }
 
@@ -141,8 +141,8 @@
 // History returns a copy of the newest records, at most 200, oldest first.
 func (s *Slice) History() []Record { return slices.Clone(s.history) }
 
-// Hear adds a claim and reports whether the verdict changed. A claim without a timeline is ignored.
-func (s *Slice) Hear(c Claim) bool {
+// Observe adds a claim and reports whether the verdict changed. A claim without a timeline is ignored.
+func (s *Slice) Observe(c Claim) bool {
 	if c.Timeline == 0 {
 		return false // the node is not on a timeline yet
 	}
@@ -188,7 +188,7 @@
 // compareClaims orders the claims of one node by Sent. The other fields break ties, so that the order is total.
 func compareClaims(a, b *Claim) int {
 	return cmp.Or(cmp.Compare(a.Sent, b.Sent), cmp.Compare(a.Timeline, b.Timeline), cmp.Compare(a.Role, b.Role), cmp.Compare(a.LSN, b.LSN), cmp.Compare(a.System, b.System),
-		cmp.Compare(a.Upstream, b.Upstream), cmp.Compare(a.Heard, b.Heard), cmp.Compare(a.Channel, b.Channel))
+		cmp.Compare(a.Upstream, b.Upstream), cmp.Compare(a.Received, b.Received), cmp.Compare(a.Channel, b.Channel))
 }
 
 // add merges a claim into the claims that are kept. The result does not depend on the order of calls.
@@ -228,11 +228,11 @@
 	case len(now.Rivals) > 0 && now.Primary == "":
 		s.record(c, "more than one node claims this term and none is followed by most of the slice: writes are refused")
 	case now.Primary != "" && now.Primary != was.Primary:
-		s.record(c, now.Primary+" is primary: "+now.Why)
+		s.record(c, now.Primary+" is primary: "+now.Evidence)
 	case now.Primary == "" && was.Primary != "":
 		s.record(c, was.Primary+" is no longer primary")
 	default:
-		s.record(c, "the evidence changed: "+now.Why)
+		s.record(c, "the evidence changed: "+now.Evidence)
 	}
 	return true
 }
@@ -243,7 +243,7 @@
 
 func (s *Slice) record(c Claim, what string) {
 	s.records++
-	s.history = append(s.history, Record{s.records, c.Heard, what, c})
+	s.history = append(s.history, Record{s.records, c.Received, what, c})
 	if len(s.history) > maxRecords {
 		s.history = slices.Delete(s.history, 0, len(s.history)-maxRecords)
 	}
@@ -263,14 +263,14 @@
 	claimants = liveClaimants(claimants)
 	switch len(claimants) {
 	case 0:
-		v.Why = "no node claims term " + decimal(v.Term)
+		v.Evidence = "no node claims term " + decimal(v.Term)
 	case 1:
-		v.Primary, v.Why = claimants[0].name, "it is the only node that claims term "+decimal(v.Term)
+		v.Primary, v.Evidence = claimants[0].name, "it is the only node that claims term "+decimal(v.Term)
 	default:
 		for _, m := range claimants {
 			v.Rivals = append(v.Rivals, m.name)
 		}
-		v.Primary, v.Why = s.mostFollowed(v, claimants)
+		v.Primary, v.Evidence = s.mostFollowed(v, claimants)
 	}
 	return v
 }
@@ -333,12 +333,12 @@
 	return m.latest.System != 0 && system != 0 && m.latest.System != system
 }
 
-// Standing returns the relation of a node to the slice by its latest claim.
-func (s *Slice) Standing(node string) Standing {
+// Status returns the relation of a node to the slice by its latest claim.
+func (s *Slice) Status(node string) Status {
 	m := s.members[node]
 	switch {
 	case m == nil || m.latest.Timeline == 0:
-		return Unheard
+		return Unreported
 	case m.foreign(s.verdict.System):
 		return Foreign
 	case !m.claims:
@@ -346,7 +346,7 @@
 	case m.fenced:
 		return Fenced
 	case s.verdict.Primary == node:
-		return Office
+		return Incumbent
 	case m.latest.Timeline < s.verdict.Term:
 		return Superseded
 	}
@@ -360,7 +360,7 @@
 		return
 	}
 	m.fenced = on
-	c := Claim{Node: node, Heard: now, Sent: now}
+	c := Claim{Node: node, Received: now, Sent: now}
 	s.record(c, map[bool]string{true: "an operator fenced " + node, false: "an operator lifted the fence of " + node}[on])
 	s.update(c)
 }
@@ -368,54 +368,54 @@
 // Forget drops all claims, fences and terms, those of the restored state too, after a slice was restored from a backup
 // by hand. The history stays.
 func (s *Slice) Forget(now time.Duration) {
-	c := Claim{Heard: now, Sent: now}
+	c := Claim{Received: now, Sent: now}
 	s.members, s.terms, s.since, s.ends = map[string]*member{}, map[uint64]uint32{}, map[uint64]time.Duration{}, map[uint32]end{}
 	s.record(c, "an operator cleared all claims, terms and fences of the slice")
 	s.update(c)
 }
 
-// Leave removes a node that was removed from the inventory. The terms that it reported stay.
-func (s *Slice) Leave(node string, now time.Duration) {
+// Remove removes a node that was removed from the inventory. The terms that it reported stay.
+func (s *Slice) Remove(node string, now time.Duration) {
 	if s.members[node] != nil {
 		delete(s.members, node)
-		s.update(Claim{Node: node, Heard: now, Sent: now})
+		s.update(Claim{Node: node, Received: now, Sent: now})
 	}
 }
 
-// Lost is a range of the log of an older timeline that is not part of the timeline that followed, since the primary of
+// Loss is a range of the log of an older timeline that is not part of the timeline that followed, since the primary of
 // the older one reported positions beyond the fork. Positions are in bytes.
-type Lost struct {
+type Loss struct {
 	Timeline uint32
 	From, To uint64 // excluding From, including To
 	Node     string // the primary that reported To
 }
 
-// Lose records a loss in the history.
-func (s *Slice) Lose(l Lost, now time.Duration) {
-	s.record(Claim{Node: l.Node, Role: Primary, Timeline: l.Timeline, LSN: l.To, Heard: now, Sent: now}, fmt.Sprintf("commits of timeline %d beyond %X/%X, up to %X/%X, were heard at %s and are not part of the timeline that followed",
+// RecordLoss records a loss in the history.
+func (s *Slice) RecordLoss(l Loss, now time.Duration) {
+	s.record(Claim{Node: l.Node, Role: Primary, Timeline: l.Timeline, LSN: l.To, Received: now, Sent: now}, fmt.Sprintf("commits of timeline %d beyond %X/%X, up to %X/%X, were heard at %s and are not part of the timeline that followed",
 		l.Timeline, l.From>>32, uint32(l.From), l.To>>32, uint32(l.To), l.Node))
 }
 
-// Beyond returns the part of a timeline beyond a fork, a byte position, and whether a primary reported any such
+// LossBeyond returns the part of a timeline beyond a fork, a byte position, and whether a primary reported any such
 // position.
-func (s *Slice) Beyond(timeline uint32, fork uint64) (Lost, bool) {
+func (s *Slice) LossBeyond(timeline uint32, fork uint64) (Loss, bool) {
 	e := s.ends[timeline]
-	return Lost{timeline, fork, e.lsn, e.node}, e.lsn > fork
+	return Loss{timeline, fork, e.lsn, e.node}, e.lsn > fork
 }
 
 // Entry describes a known node, for operators.
 type Entry struct {
-	Node     string
-	Standing Standing
-	Claim    Claim
-	Fenced   bool
+	Node   string
+	Status Status
+	Claim  Claim
+	Fenced bool
 }
 
 // Entries returns all known nodes, sorted by name.
 func (s *Slice) Entries() (all []Entry) {
 	for _, name := range slices.Sorted(maps.Keys(s.members)) {
 		m := s.members[name]
-		all = append(all, Entry{name, s.Standing(name), m.latest, m.fenced})
+		all = append(all, Entry{name, s.Status(name), m.latest, m.fenced})
 	}
 	return all
 }
--- a/topology/topology_test.go
+++ b/topology/topology_test.go
@@ -41,8 +41,8 @@
 		switch rest := words[1:]; words[0] {
 		case "claim":
 			c := claimOf(t, where, rest)
-			now = max(now, c.Heard)
-			s.Hear(c)
+			now = max(now, c.Received)
+			s.Observe(c)
 		case "fence", "lift":
 			s.Fence(rest[0], words[0] == "fence", now)
 		case "forget":
@@ -56,11 +56,11 @@
 			v := s.Verdict()
 			got := fmt.Sprintf("term %d primary %s", v.Term, map[bool]string{true: "-", false: v.Primary}[v.Primary == ""])
 			if want := strings.Join(rest, " "); got != want {
-				t.Errorf("%s: %s, want %s (%s)", where, got, want, v.Why)
+				t.Errorf("%s: %s, want %s (%s)", where, got, want, v.Evidence)
 			}
 		case "node":
 			checks++
-			if got, want := s.Standing(rest[0]).String(), strings.Join(rest[1:], " "); got != want {
+			if got, want := s.Status(rest[0]).String(), strings.Join(rest[1:], " "); got != want {
 				t.Errorf("%s: %s is %s, want %s", where, rest[0], got, want)
 			}
 		default:
@@ -80,7 +80,7 @@
 	if _, err := fmt.Sscanf(words[2]+" "+words[3], "%d:%d @%d", &c.Timeline, &c.LSN, &sent); err != nil {
 		t.Fatalf("%s: %v", where, err)
 	}
-	c.Sent, c.Heard = time.Duration(sent)*time.Millisecond, time.Duration(sent+1)*time.Millisecond
+	c.Sent, c.Received = time.Duration(sent)*time.Millisecond, time.Duration(sent+1)*time.Millisecond
 	for i := 4; i+1 < len(words); i += 2 {
 		switch words[i] {
 		case "system":
@@ -100,7 +100,7 @@
 		c := Claim{Node: rapid.SampledFrom(nodes).Draw(t, "node"), Role: Role(rapid.IntRange(0, 1).Draw(t, "role")), Timeline: uint32(rapid.IntRange(0, 4).Draw(t, "timeline")),
 			LSN: uint64(rapid.IntRange(0, 9).Draw(t, "lsn")), System: uint64(rapid.IntRange(0, 2).Draw(t, "system")), Sent: time.Duration(rapid.IntRange(0, 30).Draw(t, "sent")) * time.Second,
 			Upstream: rapid.SampledFrom(append(nodes, "")).Draw(t, "upstream")}
-		c.Heard = c.Sent + time.Second
+		c.Received = c.Sent + time.Second
 		return c
 	}), 0, 30).Draw(t, "claims")
 }
@@ -111,19 +111,19 @@
 		claims := drawClaims(t)
 		one := NewSlice("s")
 		for _, c := range claims {
-			one.Hear(c)
+			one.Observe(c)
 		}
 		other := NewSlice("s")
 		for _, c := range append(rapid.Permutation(claims).Draw(t, "order"), claims[:len(claims)/2]...) {
-			other.Hear(c)
+			other.Observe(c)
 		}
 		a, b := one.Verdict(), other.Verdict()
 		if !a.same(&b) || fmt.Sprint(one.ends) != fmt.Sprint(other.ends) {
 			t.Fatalf("%+v and %+v", a, b)
 		}
 		for _, n := range []string{"a", "b", "c", "d"} {
-			if one.Standing(n) != other.Standing(n) {
-				t.Fatalf("%s is %v and %v", n, one.Standing(n), other.Standing(n))
+			if one.Status(n) != other.Status(n) {
+				t.Fatalf("%s is %v and %v", n, one.Status(n), other.Status(n))
 			}
 		}
 	})
@@ -137,9 +137,9 @@
 		was := map[uint64]uint32{}
 		for _, c := range drawClaims(t) {
 			if c.Node == "d" && c.LSN == 3 {
-				s.Fence("d", c.Sent%2 == 0, c.Heard)
+				s.Fence("d", c.Sent%2 == 0, c.Received)
 			}
-			s.Hear(c)
+			s.Observe(c)
 			v := s.Verdict()
 			if v.Term < was[v.System] {
 				t.Fatalf("term %d after %d", v.Term, was[v.System])
@@ -147,7 +147,7 @@
 			was[v.System] = v.Term
 			if p := v.Primary; p != "" {
 				m := s.members[p]
-				if !m.claims || m.latest.Timeline != v.Term || m.fenced || m.foreign(v.System) || s.Standing(p) != Office {
+				if !m.claims || m.latest.Timeline != v.Term || m.fenced || m.foreign(v.System) || s.Status(p) != Incumbent {
 					t.Fatalf("%s is accepted as primary: %+v", p, m)
 				}
 			}
@@ -195,16 +195,16 @@
 func TestHistory(t *testing.T) {
 	s := NewSlice("s")
 	for i := range uint32(2 * maxRecords) {
-		s.Hear(Claim{Node: "a", Role: Primary, Timeline: i + 1, LSN: 5, Sent: time.Duration(i) * time.Second, Heard: time.Duration(i) * time.Second})
+		s.Observe(Claim{Node: "a", Role: Primary, Timeline: i + 1, LSN: 5, Sent: time.Duration(i) * time.Second, Received: time.Duration(i) * time.Second})
 	}
 	h := s.History()
 	if len(h) != maxRecords || h[len(h)-1].Number != 2*maxRecords || h[len(h)-1].Claim.Timeline != 2*maxRecords {
 		t.Errorf("%d records, last %+v", len(h), h[len(h)-1])
 	}
-	if l, ok := s.Beyond(3, 4); !ok || l.To != 5 || l.Node != "a" {
+	if l, ok := s.LossBeyond(3, 4); !ok || l.To != 5 || l.Node != "a" {
 		t.Errorf("%+v %v", l, ok)
 	}
-	if _, ok := s.Beyond(3, 5); ok {
+	if _, ok := s.LossBeyond(3, 5); ok {
 		t.Error("a loss is reported beyond the last reported position")
 	}
 }
