--- a/carry/carry.go
+++ b/carry/carry.go
@@ -30,14 +30,14 @@
 // not block on I/O.
 type Collector struct {
 	mu      sync.Mutex
-	tokens  token.Bag
-	initial token.Bag // tokens that the request carried
+	tokens  token.Set
+	initial token.Set // tokens that the request carried
 }
 
-// Bag returns the union of all tokens collected so far.
-func (c *Collector) Bag() token.Bag {
+// Tokens returns the union of all tokens collected so far.
+func (c *Collector) Tokens() token.Set {
 	if c == nil {
-		return token.Bag{}
+		return token.Set{}
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -52,42 +52,42 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.tokens = c.tokens.Join(token.ParseBag(values...))
+	c.tokens = c.tokens.Join(token.ParseSet(values...))
 }
 
-// Answered adds the tokens of the answer to a call and removes collected tokens that they cover.
-func (c *Collector) Answered(values ...string) {
+// AddAnswer adds the tokens of the answer to a call and removes collected tokens that they cover.
+func (c *Collector) AddAnswer(values ...string) {
 	if c == nil || len(values) == 0 {
 		return
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.tokens = c.tokens.Absorb(token.ParseBag(values...))
+	c.tokens = c.tokens.Absorb(token.ParseSet(values...))
 }
 
 // replaceLost replaces the tokens sent with a call by those of its answer, if a token was lost among the sent ones and the
 // answer's digests include theirs. A driver then answered from the present of the slice, with a token that requires the
 // present of all other slices, and the digest shows that the tokens sent arrived unchanged.
-func (c *Collector) replaceLost(sent token.Bag, digests []string, values ...string) {
+func (c *Collector) replaceLost(sent token.Set, digests []string, values ...string) {
 	if c == nil || !sent.HasUnknown() || !slices.Contains(digests, sent.Digest()) {
 		return
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.tokens = c.tokens.Replace(sent, "").Absorb(token.ParseBag(values...))
+	c.tokens = c.tokens.Replace(sent, "").Absorb(token.ParseSet(values...))
 }
 
 // settledDigest returns the digest of the tokens that the request carried if one of them was lost and has been settled,
 // that is, an answer covers it. Otherwise it returns "".
 func (c *Collector) settledDigest() string {
-	if c.initial.HasUnknown() && !c.Bag().HasUnknown() {
+	if c.initial.HasUnknown() && !c.Tokens().HasUnknown() {
 		return c.initial.Digest()
 	}
 	return ""
 }
 
-// Covered replaces the tokens sent with a call by the token of the driver's answer, which covers all of them.
-func (c *Collector) Covered(sent token.Bag, answer string) {
+// Replace replaces the tokens sent with a call by the token of the driver's answer, which covers all of them.
+func (c *Collector) Replace(sent token.Set, answer string) {
 	if c == nil {
 		return
 	}
--- a/carry/carry_test.go
+++ b/carry/carry_test.go
@@ -32,9 +32,9 @@
 // TestHTTPChain: browser, front end and back end. The back end receives the tokens of the browser and those that the
 // front end collected before the call; the browser receives the union with the back end's token.
 func TestHTTPChain(t *testing.T) {
-	var received token.Bag
+	var received token.Set
 	back := httptest.NewServer(Handler(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		received = FromContext(r.Context()).Bag()
+		received = FromContext(r.Context()).Tokens()
 		FromContext(r.Context()).Add(tok("comments", 7))
 		io.WriteString(w, "ok")
 	}), false))
@@ -64,7 +64,7 @@
 			t.Fatal(err)
 		}
 		res.Body.Close()
-		want := token.ParseBag(tok("news", 3), tok("pages", 2))
+		want := token.ParseSet(tok("news", 3), tok("pages", 2))
 		if received.String() != want.String() {
 			t.Errorf("%s: the back end received %v, want %v", name, received, want)
 		}
@@ -98,8 +98,8 @@
 		r := httptest.NewRequest("GET", "/", nil)
 		c.set(r)
 		_, col := NewContext(r.Context(), fromRequest(r)...)
-		if _, complete := col.Bag().Peek(); complete == c.lost || len(col.Bag().Texts()) != c.texts {
-			t.Errorf("%s: %q, complete %v", name, col.Bag(), complete)
+		if _, complete := col.Tokens().JoinUnverified(); complete == c.lost || len(col.Tokens().Texts()) != c.texts {
+			t.Errorf("%s: %q, complete %v", name, col.Tokens(), complete)
 		}
 	}
 }
@@ -112,7 +112,7 @@
 }
 
 func (h *health) Check(ctx context.Context, _ *grpc_health_v1.HealthCheckRequest) (*grpc_health_v1.HealthCheckResponse, error) {
-	h.received = FromContext(ctx).Bag().String()
+	h.received = FromContext(ctx).Tokens().String()
 	FromContext(ctx).Add(h.adds)
 	return &grpc_health_v1.HealthCheckResponse{}, nil
 }
@@ -143,9 +143,9 @@
 	if _, err := client.Check(ctx, &grpc_health_v1.HealthCheckRequest{}); err != nil {
 		t.Fatal(err)
 	}
-	want := token.ParseBag(tok("news", 3), tok("comments", 4)).String()
-	if h.received != tok("news", 3) || c.Bag().String() != want {
-		t.Errorf("received %q, collected %q", h.received, c.Bag())
+	want := token.ParseSet(tok("news", 3), tok("comments", 4)).String()
+	if h.received != tok("news", 3) || c.Tokens().String() != want {
+		t.Errorf("received %q, collected %q", h.received, c.Tokens())
 	}
 	h.adds = tok("pages", 9)
 	s, err := client.Watch(ctx, &grpc_health_v1.HealthCheckRequest{})
@@ -155,8 +155,8 @@
 	for err == nil {
 		_, err = s.Recv()
 	}
-	if !strings.Contains(c.Bag().String(), tok("pages", 9)) {
-		t.Errorf("the stream's token is not among %q", c.Bag())
+	if !strings.Contains(c.Tokens().String(), tok("pages", 9)) {
+		t.Errorf("the stream's token is not among %q", c.Tokens())
 	}
 }
 
@@ -166,7 +166,7 @@
 	for _, drops := range []bool{false, true} {
 		back := httptest.NewServer(Handler(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			c := FromContext(r.Context())
-			c.Covered(c.Bag(), token.Token{}.WithPresent().With("news", position.Position{Timeline: 1, LSN: 9}).String())
+			c.Replace(c.Tokens(), token.Token{}.WithPresent().With("news", position.Position{Timeline: 1, LSN: 9}).String())
 		}), false))
 		ctx, c := NewContext(t.Context(), tok("news", 3), token.Unknown)
 		base := http.RoundTripper(http.DefaultTransport)
@@ -180,8 +180,8 @@
 		}
 		res.Body.Close()
 		back.Close()
-		if c.Bag().HasUnknown() != drops {
-			t.Errorf("tokens dropped %v: collected %q", drops, c.Bag())
+		if c.Tokens().HasUnknown() != drops {
+			t.Errorf("tokens dropped %v: collected %q", drops, c.Tokens())
 		}
 	}
 }
@@ -206,15 +206,15 @@
 		r.Header[Header], r.Header["Baggage"] = []string{header}, []string{baggage}
 		r.Header["Cookie"] = []string{Cookie + "=" + cookie}
 		_, c := NewContext(t.Context(), fromRequest(r)...)
-		tokens := c.Bag()
-		if len(tokens.Texts()) > token.MaxBag {
+		tokens := c.Tokens()
+		if len(tokens.Texts()) > token.MaxSetSize {
 			t.Fatalf("%d texts", len(tokens.Texts()))
 		}
 		if strings.Trim(header, "., ") != "" && tokens.IsEmpty() {
 			t.Fatalf("header %q counts as no token", header)
 		}
 		resent := fromBaggage([]string{withBaggage([]string{baggage}, tokens.String())})
-		if got := token.ParseBag(resent...); got.String() != tokens.String() {
+		if got := token.ParseSet(resent...); got.String() != tokens.String() {
 			t.Fatalf("%q was sent on as %q", tokens, got)
 		}
 	})
@@ -241,7 +241,7 @@
 		return &grpc_health_v1.HealthCheckResponse{}, nil
 	}
 	if r.pushback != "" {
-		grpc.SetTrailer(ctx, metadata.Pairs(Pushback, r.pushback))
+		grpc.SetTrailer(ctx, metadata.Pairs(PushbackKey, r.pushback))
 	}
 	reason := "FAILED"
 	if r.refused {
--- a/carry/grpc.go
+++ b/carry/grpc.go
@@ -9,7 +9,7 @@
 
 // outgoing sets the collected tokens in the metadata of a call and replaces those that the metadata has.
 func outgoing(ctx context.Context) context.Context {
-	tokens := FromContext(ctx).Bag()
+	tokens := FromContext(ctx).Tokens()
 	if tokens.IsEmpty() {
 		return ctx
 	}
@@ -27,11 +27,11 @@
 func UnaryClient() grpc.UnaryClientInterceptor {
 	return func(ctx context.Context, method string, req, reply any, cc *grpc.ClientConn, invoke grpc.UnaryInvoker, opts ...grpc.CallOption) error {
 		c := FromContext(ctx)
-		sent := c.Bag()
+		sent := c.Tokens()
 		ctx = outgoing(ctx)
 		var header, trailer metadata.MD
 		err := invoke(ctx, method, req, reply, cc, append(opts, grpc.Header(&header), grpc.Trailer(&trailer))...)
-		c.Answered(append(header.Get(MetadataKey), trailer.Get(MetadataKey)...)...)
+		c.AddAnswer(append(header.Get(MetadataKey), trailer.Get(MetadataKey)...)...)
 		c.replaceLost(sent, trailer.Get(SettledKey), trailer.Get(MetadataKey)...)
 		return err
 	}
@@ -60,9 +60,9 @@
 	err := s.ClientStream.RecvMsg(m)
 	if err != nil {
 		if header, e := s.Header(); e == nil {
-			s.collector.Answered(header.Get(MetadataKey)...)
+			s.collector.AddAnswer(header.Get(MetadataKey)...)
 		}
-		s.collector.Answered(s.Trailer().Get(MetadataKey)...)
+		s.collector.AddAnswer(s.Trailer().Get(MetadataKey)...)
 	}
 	return err
 }
@@ -79,7 +79,7 @@
 	return func(ctx context.Context, req any, _ *grpc.UnaryServerInfo, handle grpc.UnaryHandler) (any, error) {
 		ctx, c := incoming(ctx)
 		res, err := handle(ctx, req)
-		if tokens := c.Bag(); !tokens.IsEmpty() {
+		if tokens := c.Tokens(); !tokens.IsEmpty() {
 			grpc.SetTrailer(ctx, metadata.Pairs(MetadataKey, tokens.String(), SettledKey, c.settledDigest()))
 		}
 		return res, err
@@ -92,7 +92,7 @@
 	return func(srv any, ss grpc.ServerStream, _ *grpc.StreamServerInfo, handle grpc.StreamHandler) error {
 		ctx, c := incoming(ss.Context())
 		err := handle(srv, &serverStream{ss, ctx})
-		if tokens := c.Bag(); !tokens.IsEmpty() {
+		if tokens := c.Tokens(); !tokens.IsEmpty() {
 			ss.SetTrailer(metadata.Pairs(MetadataKey, tokens.String()))
 		}
 		return err
--- a/carry/http.go
+++ b/carry/http.go
@@ -78,7 +78,7 @@
 		return
 	}
 	w.added = true
-	tokens := w.collector.Bag()
+	tokens := w.collector.Tokens()
 	if tokens.IsEmpty() {
 		return
 	}
@@ -122,7 +122,7 @@
 		base = http.DefaultTransport
 	}
 	c := FromContext(r.Context())
-	tokens := c.Bag()
+	tokens := c.Tokens()
 	if !tokens.IsEmpty() {
 		r = r.Clone(r.Context())
 		r.Header.Set(Header, tokens.String())
@@ -132,7 +132,7 @@
 	if err != nil {
 		return nil, err
 	}
-	c.Answered(res.Header.Values(Header)...)
+	c.AddAnswer(res.Header.Values(Header)...)
 	c.replaceLost(tokens, res.Header.Values(SettledKey), res.Header.Values(Header)...)
 	return res, nil
 }
--- a/carry/retry.go
+++ b/carry/retry.go
@@ -15,9 +15,9 @@
 
 // Metadata keys that drivers and clients exchange about retries.
 const (
-	ClientKey  = "umberladder-client"     // in requests: the name of the client, by which drivers share capacity fairly
-	AttemptKey = "umberladder-attempt"    // in requests: the number of the attempt, 0 for the first, summed over all hops
-	Pushback   = "grpc-retry-pushback-ms" // in trailers of responses: the delay before the next attempt, in milliseconds; -1 forbids another
+	ClientKey   = "umberladder-client"     // in requests: the name of the client, by which drivers share capacity fairly
+	AttemptKey  = "umberladder-attempt"    // in requests: the number of the attempt, 0 for the first, summed over all hops
+	PushbackKey = "grpc-retry-pushback-ms" // in trailers of responses: the delay before the next attempt, in milliseconds; -1 forbids another
 )
 
 // Retrier repeats unary calls that a driver refused, which is safe, as a refused request has not run. It waits as long
@@ -120,7 +120,7 @@
 			advice = d.RetryDelay.AsDuration()
 		}
 	}
-	for _, v := range trailer.Get(Pushback) {
+	for _, v := range trailer.Get(PushbackKey) {
 		if ms, e := strconv.Atoi(v); e != nil || ms < 0 {
 			return 0, false // the driver forbids further attempts
 		}
--- a/causalcache/bench_test.go
+++ b/causalcache/bench_test.go
@@ -52,7 +52,7 @@
 		}
 		key := Key{Name: fmt.Sprintf("%s/%d", slice, rng.IntN(12)), Slice: slice}
 		reads++
-		need, _ := sessions[s].At(slice)
+		need, _ := sessions[s].Position(slice)
 		if e, ok := plainEntries[key]; ok && now.Sub(e.FetchedAt) < 2*time.Second {
 			hits++
 			if e.Value < need.LSN {
@@ -61,8 +61,8 @@
 		} else {
 			plainEntries[key] = Entry[uint64]{Value: logs[slice], FetchedAt: now}
 		}
-		e, _, _ := c.Get(context.Background(), key, token.ParseBag(sessions[s].String()), func(context.Context, token.Bag) (Entry[uint64], error) {
-			return Entry[uint64]{Value: logs[slice], Tokens: setAt(slice, logs[slice]), Holds: tokenAt(slice, logs[slice])}, nil
+		e, _, _ := c.Get(context.Background(), key, token.ParseSet(sessions[s].String()), func(context.Context, token.Set) (Entry[uint64], error) {
+			return Entry[uint64]{Value: logs[slice], Tokens: setAt(slice, logs[slice]), LowerBound: tokenAt(slice, logs[slice])}, nil
 		})
 		if e.Value < need.LSN {
 			panic("the causal cache served an answer older than the session's token requires")
--- a/causalcache/cache.go
+++ b/causalcache/cache.go
@@ -22,22 +22,22 @@
 
 // Entry is one answer with its bounds.
 type Entry[V any] struct {
-	Value     V
-	Tokens    token.Bag   // tokens of the answer: what a session that reads it may have observed
-	Holds     token.Token // what the answer certainly includes, as stated by the driver; of several reads, their Meet
-	Validator string      // identifies the content, as in an ETag; the cache does not use it
-	FetchedAt time.Time   // set by the cache when the fetch returned
+	Value      V
+	Tokens     token.Set   // tokens of the answer: what a session that reads it may have observed
+	LowerBound token.Token // what the answer certainly includes, as stated by the driver; of several reads, their Meet
+	Validator  string      // identifies the content, as in an ETag; the cache does not use it
+	FetchedAt  time.Time   // set by the cache when the fetch returned
 }
 
 // Fetch returns an answer that covers the given tokens. It is called in a goroutine of its own, with a context that keeps
 // the values of the first caller's context but is not canceled with it.
-type Fetch[V any] func(ctx context.Context, tokens token.Bag) (Entry[V], error)
+type Fetch[V any] func(ctx context.Context, tokens token.Set) (Entry[V], error)
 
 // Stats counts lookups and fetches. Each lookup counts as one of the first four.
 type Stats struct {
 	Hits      uint64 // served from the cache
 	Expired   uint64 // the entry was older than the maximum age
-	Behind    uint64 // the entry does not certainly include what the tokens require
+	Stale     uint64 // the entry does not certainly include what the tokens require
 	Absent    uint64 // no entry
 	Coalesced uint64 // misses that waited for the fetch of another caller
 	Fetches   uint64
@@ -56,7 +56,7 @@
 
 // flight is one fetch, pending or running, with the callers that wait for it.
 type flight[V any] struct {
-	tokens  token.Bag // union of the tokens of all callers so far
+	tokens  token.Set // union of the tokens of all callers so far
 	started bool
 	waiters int // besides the caller that started the flight
 	done    chan struct{}
@@ -86,11 +86,11 @@
 
 // includes reports whether an answer with the lower bound have includes what need requires of the slice, or, if slice is
 // "", of every slice that have lists. It returns false if need contains a lost token, whose requirements are not known.
-func includes(have token.Token, need token.Bag, slice string) bool {
+func includes(have token.Token, need token.Set, slice string) bool {
 	if need.IsEmpty() {
 		return true
 	}
-	n, complete := need.Peek()
+	n, complete := need.JoinUnverified()
 	if !complete {
 		return false
 	}
@@ -100,7 +100,7 @@
 	}
 	for _, id := range ids {
 		// An unknown LSN requires the present; have does not cover it even if equal.
-		if required, any := n.PositionByID(id); any && (required.LSN == position.UnknownLSN || !have.Place(id).Covers(required)) {
+		if required, any := n.PositionByID(id); any && (required.LSN == position.UnknownLSN || !have.ListedPosition(id).Covers(required)) {
 			return false
 		}
 	}
@@ -109,12 +109,12 @@
 
 // covers reports whether have requires all that need requires. It returns false if either contains a lost token, whose
 // requirements are not known.
-func covers(have, need token.Bag) bool {
+func covers(have, need token.Set) bool {
 	if need.IsEmpty() {
 		return true
 	}
-	n, needComplete := need.Peek()
-	h, haveComplete := have.Peek()
+	n, needComplete := need.JoinUnverified()
+	h, haveComplete := have.JoinUnverified()
 	return needComplete && haveComplete && h.Covers(n)
 }
 
@@ -131,10 +131,10 @@
 //
 // It returns the error of fetch, the error of ctx, or ErrStale if three answers in a row did not include what the observed
 // tokens require. Errors are not cached. If a token among the observed ones was lost, the answer of a fetch is not checked.
-func (c *Cache[V]) Get(ctx context.Context, key Key, observed token.Bag, fetch Fetch[V]) (Entry[V], token.Bag, error) {
+func (c *Cache[V]) Get(ctx context.Context, key Key, observed token.Set, fetch Fetch[V]) (Entry[V], token.Set, error) {
 	for range maxFetches {
 		e, after, err := c.get(ctx, key, observed, fetch)
-		if _, complete := observed.Peek(); err != nil || !complete || includes(e.Holds, observed, key.Slice) {
+		if _, complete := observed.JoinUnverified(); err != nil || !complete || includes(e.LowerBound, observed, key.Slice) {
 			return e, after, err
 		}
 	}
@@ -148,7 +148,7 @@
 // this cache and the driver that drops tokens.
 var ErrStale = errors.New("causalcache: fetched answers are older than the tokens require; a service between the cache and the driver drops tokens")
 
-func (c *Cache[V]) get(ctx context.Context, key Key, observed token.Bag, fetch Fetch[V]) (Entry[V], token.Bag, error) {
+func (c *Cache[V]) get(ctx context.Context, key Key, observed token.Set, fetch Fetch[V]) (Entry[V], token.Set, error) {
 	c.mu.Lock()
 	if e, ok := c.lookup(key, observed); ok {
 		c.stats.Hits++
@@ -172,15 +172,15 @@
 }
 
 // lookup returns the entry of a key if it may be served to a session with the observed tokens.
-func (c *Cache[V]) lookup(key Key, observed token.Bag) (Entry[V], bool) {
+func (c *Cache[V]) lookup(key Key, observed token.Set) (Entry[V], bool) {
 	e, ok := c.entries.Get(key)
 	switch {
 	case !ok:
 		c.stats.Absent++
 	case c.now().Sub(e.FetchedAt) > c.maxAge:
 		c.stats.Expired++
-	case !includes(e.Holds, observed, key.Slice):
-		c.stats.Behind++
+	case !includes(e.LowerBound, observed, key.Slice):
+		c.stats.Stale++
 	default:
 		return e, true
 	}
@@ -189,7 +189,7 @@
 
 // joinFlight returns a flight to wait for, or creates the next one. A running flight serves callers whose tokens it
 // covers; to a pending one the caller's tokens are added.
-func (c *Cache[V]) joinFlight(key Key, observed token.Bag) (f *flight[V], created bool) {
+func (c *Cache[V]) joinFlight(key Key, observed token.Set) (f *flight[V], created bool) {
 	for _, f := range c.flights[key] {
 		if !f.started {
 			f.tokens = f.tokens.Join(observed)
@@ -255,7 +255,7 @@
 // store adds an entry unless the cache has an unexpired one with a higher lower bound, as answers may arrive out of
 // order.
 func (c *Cache[V]) store(key Key, e Entry[V]) {
-	if old, ok := c.entries.Peek(key); ok && c.now().Sub(old.FetchedAt) <= c.maxAge && old.Holds.Covers(e.Holds) && !e.Holds.Covers(old.Holds) {
+	if old, ok := c.entries.Peek(key); ok && c.now().Sub(old.FetchedAt) <= c.maxAge && old.LowerBound.Covers(e.LowerBound) && !e.LowerBound.Covers(old.LowerBound) {
 		return
 	}
 	c.entries.Add(key, e)
--- a/causalcache/cache_test.go
+++ b/causalcache/cache_test.go
@@ -18,7 +18,7 @@
 	return token.Token{}.With(slice, position.Position{Timeline: 1, LSN: lsn})
 }
 
-func setAt(slice string, lsn uint64) token.Bag { return token.ParseBag(tokenAt(slice, lsn).String()) }
+func setAt(slice string, lsn uint64) token.Set { return token.ParseSet(tokenAt(slice, lsn).String()) }
 
 // origin answers with its log position, or with the position that the tokens require if that is higher.
 type origin struct {
@@ -27,18 +27,18 @@
 	block chan struct{}
 }
 
-func (o *origin) fetch(_ context.Context, observed token.Bag) (Entry[uint64], error) {
+func (o *origin) fetch(_ context.Context, observed token.Set) (Entry[uint64], error) {
 	o.calls.Add(1)
 	if o.block != nil {
 		<-o.block
 	}
-	need, _ := observed.Peek()
-	at, _ := need.At("news")
+	need, _ := observed.JoinUnverified()
+	at, _ := need.Position("news")
 	lsn := max(o.at.Load(), at.LSN)
-	return Entry[uint64]{Value: lsn, Tokens: setAt("news", lsn), Holds: tokenAt("news", lsn)}, nil
+	return Entry[uint64]{Value: lsn, Tokens: setAt("news", lsn), LowerBound: tokenAt("news", lsn)}, nil
 }
 
-func get(t *testing.T, c *Cache[uint64], o *origin, observed token.Bag) (uint64, token.Bag) {
+func get(t *testing.T, c *Cache[uint64], o *origin, observed token.Set) (uint64, token.Set) {
 	t.Helper()
 	e, after, err := c.Get(t.Context(), Key{Name: "page", Slice: "news"}, observed, o.fetch)
 	if err != nil {
@@ -53,8 +53,8 @@
 	c, _ := New[uint64](10, time.Hour, nil)
 	o := &origin{}
 	o.at.Store(5)
-	get(t, c, o, token.Bag{})
-	if v, _ := get(t, c, o, token.Bag{}); v != 5 || o.calls.Load() != 1 {
+	get(t, c, o, token.Set{})
+	if v, _ := get(t, c, o, token.Set{}); v != 5 || o.calls.Load() != 1 {
 		t.Errorf("an entry was not served from the cache: %d after %d calls", v, o.calls.Load())
 	}
 	if v, _ := get(t, c, o, setAt("news", 9)); v < 9 {
@@ -63,10 +63,10 @@
 	if _, after := get(t, c, o, setAt("other", 3)); len(after.Texts()) != 2 {
 		t.Errorf("the token of another slice was dropped: %v", after)
 	}
-	if _, after := get(t, c, o, token.ParseBag("!")); after.String() == "" {
+	if _, after := get(t, c, o, token.ParseSet("!")); after.String() == "" {
 		t.Error("a lost token was dropped")
 	}
-	if s := c.Stats(); s.Behind == 0 || s.Hits == 0 {
+	if s := c.Stats(); s.Stale == 0 || s.Hits == 0 {
 		t.Errorf("%+v", s)
 	}
 }
@@ -75,9 +75,9 @@
 	now := time.Unix(100, 0)
 	c, _ := New[uint64](10, time.Second, func() time.Time { return now })
 	o := &origin{}
-	get(t, c, o, token.Bag{})
+	get(t, c, o, token.Set{})
 	now = now.Add(2 * time.Second)
-	get(t, c, o, token.Bag{})
+	get(t, c, o, token.Set{})
 	if o.calls.Load() != 2 || c.Stats().Expired != 1 {
 		t.Errorf("%d calls, %+v", o.calls.Load(), c.Stats())
 	}
@@ -89,7 +89,7 @@
 	c, _ := New[uint64](10, time.Hour, nil)
 	o := &origin{block: make(chan struct{})}
 	var callers sync.WaitGroup
-	read := func(observed token.Bag, least uint64) {
+	read := func(observed token.Set, least uint64) {
 		callers.Go(func() {
 			if e, _, err := c.Get(t.Context(), Key{Name: "page", Slice: "news"}, observed, o.fetch); err != nil || e.Value < least {
 				t.Errorf("%d, %v; want at least %d", e.Value, err, least)
@@ -117,7 +117,7 @@
 
 // TestUnknownPositionIsNotIncluded: a token with an unknown LSN requires the present, so no cached answer includes it.
 func TestUnknownPositionIsNotIncluded(t *testing.T) {
-	unknown := token.ParseBag(token.Token{}.With("news", position.Position{Timeline: 1, LSN: position.UnknownLSN}).String())
+	unknown := token.ParseSet(token.Token{}.With("news", position.Position{Timeline: 1, LSN: position.UnknownLSN}).String())
 	if includes(tokenAt("news", 3), unknown, "news") {
 		t.Error("a cached answer counts as including the present")
 	}
@@ -130,9 +130,9 @@
 		c, _ := New[uint64](10, time.Hour, nil)
 		o := &origin{}
 		calls := 0
-		e, _, err := c.Get(t.Context(), Key{Name: "page"}, setAt("news", 9), func(ctx context.Context, observed token.Bag) (Entry[uint64], error) {
+		e, _, err := c.Get(t.Context(), Key{Name: "page"}, setAt("news", 9), func(ctx context.Context, observed token.Set) (Entry[uint64], error) {
 			if calls++; calls <= drops {
-				observed = token.Bag{}
+				observed = token.Set{}
 			}
 			return o.fetch(ctx, observed)
 		})
@@ -145,10 +145,10 @@
 func TestErrorsAreNotCached(t *testing.T) {
 	c, _ := New[int](10, time.Hour, nil)
 	boom := errors.New("boom")
-	if _, _, err := c.Get(t.Context(), Key{Name: "k"}, token.Bag{}, func(context.Context, token.Bag) (Entry[int], error) { return Entry[int]{}, boom }); err != boom {
+	if _, _, err := c.Get(t.Context(), Key{Name: "k"}, token.Set{}, func(context.Context, token.Set) (Entry[int], error) { return Entry[int]{}, boom }); err != boom {
 		t.Errorf("%v", err)
 	}
-	if e, _, err := c.Get(t.Context(), Key{Name: "k"}, token.Bag{}, func(context.Context, token.Bag) (Entry[int], error) { return Entry[int]{Value: 4}, nil }); err != nil || e.Value != 4 {
+	if e, _, err := c.Get(t.Context(), Key{Name: "k"}, token.Set{}, func(context.Context, token.Set) (Entry[int], error) { return Entry[int]{Value: 4}, nil }); err != nil || e.Value != 4 {
 		t.Errorf("%v, %v", e, err)
 	}
 }
@@ -158,7 +158,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		c, _ := New[uint64](2, time.Hour, nil)
 		o := &origin{}
-		sessions := make([]token.Bag, 4)
+		sessions := make([]token.Set, 4)
 		last := make([]uint64, 4)
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
 			s := rapid.IntRange(0, 3).Draw(t, "session")
@@ -187,11 +187,11 @@
 	c, _ := New[string](10, time.Hour, nil)
 	key := Key{Name: "page", Slice: "news"}
 	answers := func(value string, tokenLSN, lowerBound uint64) Fetch[string] {
-		return func(context.Context, token.Bag) (Entry[string], error) {
-			return Entry[string]{Value: value, Tokens: setAt("news", tokenLSN), Holds: tokenAt("news", lowerBound)}, nil
+		return func(context.Context, token.Set) (Entry[string], error) {
+			return Entry[string]{Value: value, Tokens: setAt("news", tokenLSN), LowerBound: tokenAt("news", lowerBound)}, nil
 		}
 	}
-	c.Get(t.Context(), key, token.Bag{}, answers("without", 192, 191))
+	c.Get(t.Context(), key, token.Set{}, answers("without", 192, 191))
 	if e, _, err := c.Get(t.Context(), key, setAt("news", 192), answers("with", 192, 192)); err != nil || e.Value != "with" {
 		t.Errorf("the session that wrote got %q, %v", e.Value, err)
 	}
--- a/cmd/umberladder/experiment.go
+++ b/cmd/umberladder/experiment.go
@@ -54,7 +54,7 @@
 }
 
 // livePlayer plays experiments on sockets in real time.
-var livePlayer = experiment.Player{Name: "live", Play: lab.Live}
+var livePlayer = experiment.Runner{Name: "live", Run: lab.Live}
 
 func (o *runOptions) run(cmd *cobra.Command, x *experiment.Experiment) error {
 	plant, ok := world.PlantNamed(o.plant)
@@ -63,7 +63,7 @@
 	}
 	broken := 0
 	var outcomes [][]experiment.Outcome
-	for _, p := range []experiment.Player{experiment.Simulated, livePlayer} {
+	for _, p := range []experiment.Runner{experiment.Simulated, livePlayer} {
 		if !o.both && o.live != (p.Name == livePlayer.Name) {
 			continue
 		}
@@ -74,7 +74,7 @@
 		outcomes, broken = append(outcomes, all), broken+n
 	}
 	if o.both {
-		experiment.WriteBeside(cmd.OutOrStdout(), x.Name, experiment.Beside(outcomes[0], outcomes[1]))
+		experiment.WriteComparison(cmd.OutOrStdout(), x.Name, experiment.PairOutcomes(outcomes[0], outcomes[1]))
 		fmt.Fprintf(cmd.OutOrStdout(), "rules broken: %d\n", broken)
 	}
 	if broken > 0 {
@@ -85,8 +85,8 @@
 
 // play plays an experiment with one player, records it if o.record is set, and prints the results. It returns the outcomes and
 // the number of broken rules.
-func (o *runOptions) play(cmd *cobra.Command, x *experiment.Experiment, p experiment.Player, plant world.Plant) ([]experiment.Outcome, int, error) {
-	options := experiment.Options{Seed: o.seed, Procs: o.procs, Player: p, Plant: plant, Progress: func(arm string, repeat int) {
+func (o *runOptions) play(cmd *cobra.Command, x *experiment.Experiment, p experiment.Runner, plant world.Plant) ([]experiment.Outcome, int, error) {
+	options := experiment.Options{Seed: o.seed, Procs: o.procs, Runner: p, Plant: plant, Progress: func(arm string, repeat int) {
 		fmt.Fprintf(cmd.ErrOrStderr(), "%s, %s, repeat %d: done\n", p.Name, arm, repeat+1)
 	}}
 	if p.Name == livePlayer.Name {
@@ -101,7 +101,7 @@
 			dir = filepath.Join(dir, p.Name)
 		}
 		var err error
-		if w, err = record.Create(dir, x.About(options)); err != nil {
+		if w, err = record.Create(dir, x.Manifest(options)); err != nil {
 			return nil, 0, err
 		}
 		options.Record = experiment.Recorder(w)
@@ -128,7 +128,7 @@
 		Short: "Search for the smallest experiment that breaks a rule, in simulated time; exit 1 if there is one",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			f, err := experiment.Hunt(cmd.Context(), seed, runs, nil, func(f *experiment.Find) {
+			f, err := experiment.Hunt(cmd.Context(), seed, runs, nil, func(f *experiment.HuntResult) {
 				if f.Runs%100 == 0 {
 					fmt.Fprintf(cmd.ErrOrStderr(), "%d runs, least goodput %.3f\n", f.Runs, f.Goodput)
 				}
@@ -136,14 +136,14 @@
 			if err != nil {
 				return err
 			}
-			found, n := f.Broken, len(f.Lines)
+			found, n := f.Broken, len(f.BrokenRules)
 			w := cmd.OutOrStdout()
 			fmt.Fprintf(w, "simulated: %d runs, %.1f%% of requests served in the mean, least goodput %.3f\n", f.Runs, 100*f.Served, f.Goodput)
 			if found == nil {
 				found = f.Worst
 				fmt.Fprintf(w, "none broke a rule; the one with the least goodput, seed %d:\n", found.Seed)
 			} else {
-				fmt.Fprintf(w, "broke a rule (%s); the smallest that does, seed %d:\n", f.Lines[0], found.Seed)
+				fmt.Fprintf(w, "broke a rule (%s); the smallest that does, seed %d:\n", f.BrokenRules[0], found.Seed)
 			}
 			fmt.Fprintln(w, found.Text())
 			if write != "" {
@@ -194,7 +194,7 @@
 				return err
 			}
 			fmt.Fprintf(w, "%d of %d runs were already recorded; the best first\n", held, len(x.Arms)*x.Repeats)
-			if x.Write(w, experiment.Simulated, experiment.Best(all)) > 0 {
+			if x.Write(w, experiment.Simulated, experiment.SortByGoodput(all)) > 0 {
 				return errReported
 			}
 			return nil
--- a/cmd/umberladder/inventory.go
+++ b/cmd/umberladder/inventory.go
@@ -55,7 +55,7 @@
 		if err != nil {
 			return inventory.Options{}, err
 		}
-		return inventory.Options{Halls: s.Halls, MinMembers: s.LeastMembers}, nil
+		return inventory.Options{Zones: s.Zones, MinMembers: s.MinMembers}, nil
 	}
 }
 
@@ -170,12 +170,12 @@
 }
 
 // requestStatus sends a request to a driver's control socket and returns the inventory's status from the answer.
-func requestStatus(ctx context.Context, socket, method, path string) (*server.Status, error) {
+func requestStatus(ctx context.Context, socket, method, path string) (*server.InventoryStatus, error) {
 	text, err := requestControl(ctx, socket, method, path)
 	if err != nil {
 		return nil, err
 	}
-	var st server.Status
+	var st server.InventoryStatus
 	return &st, json.Unmarshal(text, &st)
 }
 
@@ -260,11 +260,11 @@
 	return cmd
 }
 
-func printStatus(cmd *cobra.Command, st *server.Status) error {
+func printStatus(cmd *cobra.Command, st *server.InventoryStatus) error {
 	w := cmd.OutOrStdout()
-	fmt.Fprintf(w, "%d nodes in force, from %s, taken %s\n", st.Members, strings.Join(st.Files, " "), st.Taken.Format(time.RFC3339))
-	if st.Bad != "" {
-		fmt.Fprintf(w, "the files are invalid since %s:\n%s\n", st.BadSince.Format(time.RFC3339), st.Bad)
+	fmt.Fprintf(w, "%d nodes in force, from %s, taken %s\n", st.Members, strings.Join(st.Files, " "), st.LoadedAt.Format(time.RFC3339))
+	if st.Error != "" {
+		fmt.Fprintf(w, "the files are invalid since %s:\n%s\n", st.ErrorSince.Format(time.RFC3339), st.Error)
 	}
 	lacked := slices.ContainsFunc(st.Held, func(h membership.Held) bool { return h.Lacked })
 	for _, h := range st.Held {
--- a/cmd/umberladder/lab.go
+++ b/cmd/umberladder/lab.go
@@ -65,7 +65,7 @@
 				fmt.Fprintf(cmd.OutOrStdout(), "slice %s, %d stand-in nodes, primary %s\n", g.Name, len(g.Nodes()), g.Primary().Name)
 			}
 			for _, d := range f.Drivers {
-				fmt.Fprintf(cmd.OutOrStdout(), "%s in %s on %s\n", d.Name, d.Hall, d.Addr())
+				fmt.Fprintf(cmd.OutOrStdout(), "%s in %s on %s\n", d.Name, d.Zone, d.Addr())
 			}
 			<-cmd.Context().Done()
 			return f.Close()
--- a/cmd/umberladder/load.go
+++ b/cmd/umberladder/load.go
@@ -41,7 +41,7 @@
 				p.Callers, p.Shape = callers, load.Shape{}
 			}
 			if set("for") {
-				p.For = duration
+				p.Duration = duration
 			}
 			if set("warm-up") {
 				p.WarmUp = warmUp
@@ -67,7 +67,7 @@
 			if err != nil {
 				return err
 			}
-			if r.Write(cmd.OutOrStdout()); !r.Good() {
+			if r.Write(cmd.OutOrStdout()); !r.Passed() {
 				return errReported
 			}
 			return nil
--- a/cmd/umberladder/query.go
+++ b/cmd/umberladder/query.go
@@ -196,9 +196,9 @@
 				if name == "" {
 					name = fmt.Sprintf("#%010x", uint64(id))
 				}
-				fmt.Fprintf(cmd.OutOrStdout(), "%s %v\n", name, t.Place(id))
+				fmt.Fprintf(cmd.OutOrStdout(), "%s %v\n", name, t.ListedPosition(id))
 			}
-			if t.AsksForPresent() {
+			if t.RequiresPresent() {
 				fmt.Fprintln(cmd.OutOrStdout(), "other slices: present")
 			}
 			return nil
--- a/cmd/umberladder/recording.go
+++ b/cmd/umberladder/recording.go
@@ -36,20 +36,20 @@
 			if attempts {
 				q.Kind = record.KindAttempt
 			}
-			lines, err := r.Ask(q)
+			lines, err := r.Query(q)
 			if err != nil {
 				return err
 			}
 			w := cmd.OutOrStdout()
 			how := "simulated"
-			if r.About.Live {
+			if r.Manifest.Live {
 				how = "live on stand-ins"
 			}
-			fmt.Fprintf(w, "%s, %s, seed %d\n", r.About.Name, how, r.About.Seed)
-			if r.Cut || r.About.Ended.IsZero() {
+			fmt.Fprintf(w, "%s, %s, seed %d\n", r.Manifest.Name, how, r.Manifest.Seed)
+			if r.Incomplete || r.Manifest.Ended.IsZero() {
 				fmt.Fprintln(w, "the run was killed or is under way: its last seconds are missing")
 			}
-			record.WriteLines(w, q, lines)
+			record.WriteSummaries(w, q, lines)
 			return nil
 		},
 	}
--- a/cmd/umberladder/topology.go
+++ b/cmd/umberladder/topology.go
@@ -110,9 +110,9 @@
 		}
 		lastReport := "-"
 		if n.Timeline > 0 {
-			lastReport = fmt.Sprintf("%v ago by %s", time.Duration(n.Age*float64(time.Second)).Round(time.Millisecond), n.By)
+			lastReport = fmt.Sprintf("%v ago by %s", time.Duration(n.Age*float64(time.Second)).Round(time.Millisecond), n.Channel)
 		}
-		fmt.Fprintf(w, "  %s\t%s\t%s\t%v\t%s\t%s\n", n.Name, standing, n.Said, position.Position{Timeline: n.Timeline, LSN: n.LSN}, follows, lastReport)
+		fmt.Fprintf(w, "  %s\t%s\t%s\t%v\t%s\t%s\n", n.Name, standing, n.Role, position.Position{Timeline: n.Timeline, LSN: n.LSN}, follows, lastReport)
 	}
 	w.Flush()
 }
@@ -120,9 +120,9 @@
 func printTopologyHistory(out io.Writer, s *server.TopologySlice) {
 	fmt.Fprintf(out, "slice %s\n", s.Name)
 	for _, h := range s.History {
-		fmt.Fprintf(out, "  #%d %s %s", h.Number, h.At.Format("2006-01-02 15:04:05.000"), h.What)
-		if h.Said != "" {
-			fmt.Fprintf(out, " (by a %s of %s: %s at %v)", h.By, h.Node, h.Said, position.Position{Timeline: h.Timeline, LSN: h.LSN})
+		fmt.Fprintf(out, "  #%d %s %s", h.Number, h.At.Format("2006-01-02 15:04:05.000"), h.Change)
+		if h.Role != "" {
+			fmt.Fprintf(out, " (by a %s of %s: %s at %v)", h.Channel, h.Node, h.Role, position.Position{Timeline: h.Timeline, LSN: h.LSN})
 		}
 		fmt.Fprintln(out)
 	}
--- a/driver/engine.go
+++ b/driver/engine.go
@@ -298,7 +298,7 @@
 	if e.isForeign(q.ask.Token) {
 		return CauseForeignToken
 	}
-	need, named := q.ask.Token.At(q.ask.Slice)
+	need, named := q.ask.Token.Position(q.ask.Slice)
 	if e.cfg.DriverSessions && q.ask.Session != "" {
 		at := e.sessions.required(q.ask.Slice, q.ask.Session)
 		need, named = need.Join(at), named || !at.IsZero()
@@ -357,7 +357,7 @@
 		return t
 	}
 	for _, id := range t.Slices() {
-		if all := e.byToken[id]; len(all) == 1 && all[0] != except && e.prunable(all[0], t.Place(id)) {
+		if all := e.byToken[id]; len(all) == 1 && all[0] != except && e.prunable(all[0], t.ListedPosition(id)) {
 			t = t.With(all[0].name, position.Position{})
 		}
 	}
--- a/driver/engine_test.go
+++ b/driver/engine_test.go
@@ -20,7 +20,7 @@
 	r.nodes["p"].facts = primary(at(1, 1100))
 	r.reply(c)
 	a := r.answer(w)
-	if got, _ := a.Token.At("news"); a.Status != Served || got != at(1, 1100) {
+	if got, _ := a.Token.Position("news"); a.Status != Served || got != at(1, 1100) {
 		t.Fatalf("answer %+v with token for %v", a, got)
 	}
 	read := r.request(classArticle, token.Token{})
@@ -48,7 +48,7 @@
 		t.Fatalf("it went to %s, which is at 1000", c.Node)
 	}
 	r.reply(c)
-	if got, _ := r.answer(id).Token.At("news"); got != at(1, 1500) {
+	if got, _ := r.answer(id).Token.Position("news"); got != at(1, 1500) {
 		t.Errorf("token for %v", got)
 	}
 	r.checkIdle()
@@ -77,7 +77,7 @@
 	w := r.request(classWrite, token.Token{})
 	r.result(r.sent(w), Result{End: EndBroken, Started: true, Done: true})
 	a := r.answer(w)
-	got, _ := a.Token.At("news")
+	got, _ := a.Token.Position("news")
 	if a.Status != Served || got.LSN != position.UnknownLSN {
 		t.Fatalf("answer %+v, token for %v", a, got)
 	}
@@ -89,7 +89,7 @@
 	}
 	r.nodes["p"].facts = primary(at(1, 1200))
 	r.reply(c)
-	if got, _ := r.answer(id).Token.At("news"); got != at(1, 1200) {
+	if got, _ := r.answer(id).Token.Position("news"); got != at(1, 1200) {
 		t.Errorf("the token still asks for %v", got)
 	}
 	r.checkIdle()
@@ -563,7 +563,7 @@
 		id := r.request(classOwn, both)
 		r.run(30 * ms)
 		r.reply(r.sent(id))
-		if _, named := r.answer(id).Token.At("olds"); named != (wait == 0) {
+		if _, named := r.answer(id).Token.Position("olds"); named != (wait == 0) {
 			t.Errorf("after %v the other slice's position is in the token: %v", wait, named)
 		}
 	}
@@ -641,7 +641,7 @@
 	c := r.sent(id)
 	r.reply(c)
 	a := r.answer(id)
-	if got, _ := a.Token.At("news"); a.Status != Served || got != at(2, 1000) {
+	if got, _ := a.Token.Position("news"); a.Status != Served || got != at(2, 1000) {
 		t.Errorf("at %s: %+v; its token is beyond what the answer holds", c.Node, a)
 	}
 	r.checkIdle()
--- a/driver/visibility_test.go
+++ b/driver/visibility_test.go
@@ -15,7 +15,7 @@
 	r.run(50 * ms)
 	r.result(r.sent(id), Result{Started: true, Done: true, Facts: before, After: after})
 	a := r.answer(id)
-	p, _ := a.Token.At("news")
+	p, _ := a.Token.Position("news")
 	return p, a
 }
 
@@ -28,7 +28,7 @@
 	if seen.LSN != 192 {
 		t.Fatalf("its token is at %v though it saw 192", seen)
 	}
-	if held, _ := a.LowerBound.At("news"); held.LSN != 128 {
+	if held, _ := a.LowerBound.Position("news"); held.LSN != 128 {
 		t.Errorf("it holds %v for certain, though the position before it was 128", held)
 	}
 	id := r.request(classOwn, a.Token)
@@ -97,7 +97,7 @@
 	r.step(Event{Kind: EventStreamStarted, Conn: c.Conn, Result: Result{Facts: replica(at(1, 1000))}})
 	r.result(c, Result{Started: true, Done: true, Facts: replica(at(1, 1000)), After: primary(at(2, 1200))})
 	a := r.answer(id)
-	if p, _ := a.Token.At("news"); p != at(2, 1200) {
+	if p, _ := a.Token.Position("news"); p != at(2, 1200) {
 		t.Errorf("token %v", p)
 	}
 	r.checkIdle()
@@ -205,7 +205,7 @@
 	reported := primary(position.Position{Timeline: 1, LSN: 1000, Transactions: position.TransactionsBelow(700)})
 	r := newHarness(t, testConfig(), map[string]Facts{"p": reported, "r1": replica(at(1, 1000)), "r2": replica(at(1, 1000))})
 	_, a := r.readAt(classDesk, token.Token{}, reported, reported)
-	holds, _ := a.LowerBound.At("news")
+	holds, _ := a.LowerBound.Position("news")
 	for below, want := range map[uint64]bool{700: true, 701: false} {
 		need := position.Position{Timeline: 1, LSN: 900, Transactions: position.TransactionsBelow(below)}
 		if holds.Covers(need) != want {
@@ -227,7 +227,7 @@
 	reported := primary(position.Position{Timeline: 1, LSN: 1000, Transactions: position.TransactionsBelow(700)})
 	r := newHarness(t, testConfig(), map[string]Facts{"p": reported, "r1": replica(at(1, 900)), "r2": replica(at(1, 900))})
 	_, a := r.readAt(classDesk, token.Token{}.With("news", at(1, 1000)), reported, reported)
-	if holds, _ := a.LowerBound.At("news"); holds.LSN != 999 {
+	if holds, _ := a.LowerBound.Position("news"); holds.LSN != 999 {
 		t.Errorf("it holds %v, read at a primary at 1000", holds)
 	}
 	r.checkIdle()
@@ -243,7 +243,7 @@
 	r.run(50 * ms)
 	r.result(r.sent(id), Result{Started: true, Done: true, Facts: reported})
 	answer := r.answer(id)
-	if p, _ := answer.Token.At("news"); p.LSN != 1000 || p.Transactions != seen.Transactions {
+	if p, _ := answer.Token.Position("news"); p.LSN != 1000 || p.Transactions != seen.Transactions {
 		t.Errorf("its token is %v with %v", p, p.Transactions)
 	}
 	r.checkIdle()
--- a/explore/model.go
+++ b/explore/model.go
@@ -380,7 +380,7 @@
 	w.lastReq++
 	q := &request{client: i, class: class, deadline: w.now + classes()[class].Deadline}
 	ask := driver.RequestParams{Class: class, Slice: "s", Session: fmt.Sprint("client", i), Deadline: q.deadline, Token: c.token}
-	q.need, _ = c.token.At("s")
+	q.need, _ = c.token.Position("s")
 	w.reqs[w.lastReq], c.current = q, w.lastReq
 	w.step(driver.Event{Kind: driver.EventRequest, Request: w.lastReq, Params: ask})
 }
--- a/explore/trace.go
+++ b/explore/trace.go
@@ -34,21 +34,21 @@
 	for _, d := range p.Tree() {
 		switch name := d.Name.Text; {
 		case counts[name] != nil:
-			p.Count(d, counts[name], 0, 100)
+			p.IntArg(d, counts[name], 0, 100)
 		case name == "script":
-			if w, ok := p.One(d); ok {
+			if w, ok := p.SingleArg(d); ok {
 				cfg.Script = append(cfg.Script, w.Text)
 			}
 		case name == "event":
-			if w, ok := p.One(d); ok {
+			if w, ok := p.SingleArg(d); ok {
 				events = append(events, w.Text)
 			}
 		default:
-			p.Unknown(d.Name, []string{"clients", "nodes", "resets", "drains", "crashes", "zombies", "leaves", "script", "event"})
+			p.UnknownDirective(d.Name, []string{"clients", "nodes", "resets", "drains", "crashes", "zombies", "leaves", "script", "event"})
 		}
 	}
 	if len(cfg.Script) == 0 || cfg.Nodes == 0 || cfg.Clients == 0 {
-		p.Problem(lines.Word{Line: 1, Column: 1}, "a trace file needs clients, nodes and a script")
+		p.AddProblem(lines.Word{Line: 1, Column: 1}, "a trace file needs clients, nodes and a script")
 	}
 	return cfg, events, p.Err()
 }
--- a/internal/lines/lines.go
+++ b/internal/lines/lines.go
@@ -39,53 +39,53 @@
 	return p.problems
 }
 
-// Unknown records the problem that w names no directive in known, and suggests the nearest one.
-func (p *Parser) Unknown(w Word, known []string) {
+// UnknownDirective records the problem that w names no directive in known, and suggests the nearest one.
+func (p *Parser) UnknownDirective(w Word, known []string) {
 	if n := words.Nearest(w.Text, known, 1+len(w.Text)/3); n != "" {
-		p.Problem(w, "unknown directive %q; did you mean %q?", w.Text, n)
+		p.AddProblem(w, "unknown directive %q; did you mean %q?", w.Text, n)
 		return
 	}
-	p.Problem(w, "unknown directive %q; known here: %s", w.Text, strings.Join(known, ", "))
+	p.AddProblem(w, "unknown directive %q; known here: %s", w.Text, strings.Join(known, ", "))
 }
 
-// One returns the only argument of d. It returns false and records a problem if d has a block, or not exactly one argument.
-func (p *Parser) One(d Directive) (Word, bool) {
+// SingleArg returns the only argument of d. It returns false and records a problem if d has a block, or not exactly one argument.
+func (p *Parser) SingleArg(d Directive) (Word, bool) {
 	switch {
-	case d.Open:
-		p.Problem(d.Name, "%s takes a value, not a block", d.Name.Text)
+	case d.HasBlock:
+		p.AddProblem(d.Name, "%s takes a value, not a block", d.Name.Text)
 	case len(d.Args) == 0:
-		p.Problem(d.Name, "%s needs a value", d.Name.Text)
+		p.AddProblem(d.Name, "%s needs a value", d.Name.Text)
 	case len(d.Args) > 1:
-		p.Problem(d.Args[1], "%s takes one value; quote a value that contains blanks", d.Name.Text)
+		p.AddProblem(d.Args[1], "%s takes one value; quote a value that contains blanks", d.Name.Text)
 	default:
 		return d.Args[0], true
 	}
 	return Word{}, false
 }
 
-// Count sets *dst to the only argument of d, a whole number from least to most. Otherwise it records a problem.
-func (p *Parser) Count(d Directive, dst *int, least, most int) {
-	if w, ok := p.One(d); ok {
-		p.Whole(w, d.Name.Text, dst, least, most)
+// IntArg sets *dst to the only argument of d, a whole number from least to most. Otherwise it records a problem.
+func (p *Parser) IntArg(d Directive, dst *int, least, most int) {
+	if w, ok := p.SingleArg(d); ok {
+		p.ParseInt(w, d.Name.Text, dst, least, most)
 	}
 }
 
-// Whole sets *dst to w, a whole number from least to most. Otherwise it records a problem that begins with name.
-func (p *Parser) Whole(w Word, name string, dst *int, least, most int) {
+// ParseInt sets *dst to w, a whole number from least to most. Otherwise it records a problem that begins with name.
+func (p *Parser) ParseInt(w Word, name string, dst *int, least, most int) {
 	v, err := strconv.Atoi(w.Text)
 	if err != nil || v < least || v > most {
-		p.Problem(w, "%s: %q is no whole number from %d to %d", name, w.Text, least, most)
+		p.AddProblem(w, "%s: %q is no whole number from %d to %d", name, w.Text, least, most)
 		return
 	}
 	*dst = v
 }
 
-// Number sets *dst to the only argument of d, a number from least to most. Otherwise it records a problem.
-func (p *Parser) Number(d Directive, dst *float64, least, most float64) {
-	if w, ok := p.One(d); ok {
+// FloatArg sets *dst to the only argument of d, a number from least to most. Otherwise it records a problem.
+func (p *Parser) FloatArg(d Directive, dst *float64, least, most float64) {
+	if w, ok := p.SingleArg(d); ok {
 		v, err := strconv.ParseFloat(w.Text, 64)
 		if err != nil || !(v >= least && v <= most) {
-			p.Problem(w, "%s: %q is no number from %g to %g", d.Name.Text, w.Text, least, most)
+			p.AddProblem(w, "%s: %q is no number from %g to %g", d.Name.Text, w.Text, least, most)
 			return
 		}
 		*dst = v
@@ -125,10 +125,10 @@
 
 // Directive is one line: its first word, the other words, and the directives of its block.
 type Directive struct {
-	Name  Word
-	Args  []Word
-	Block []Directive
-	Open  bool // has a block, which may be empty
+	Name     Word
+	Args     []Word
+	Block    []Directive
+	HasBlock bool // has a block, which may be empty
 }
 
 // Parser turns text into directives and collects problems.
@@ -139,8 +139,8 @@
 	problems Problems
 }
 
-// Problem records a mistake at the position of w.
-func (p *Parser) Problem(w Word, format string, args ...any) {
+// AddProblem records a mistake at the position of w.
+func (p *Parser) AddProblem(w Word, format string, args ...any) {
 	p.problems = append(p.problems, Problem{p.file, w.Line, w.Column, fmt.Sprintf(format, args...)})
 }
 
@@ -156,31 +156,31 @@
 		first, last := words[0], words[len(words)-1]
 		if first.Is("}") {
 			if len(words) > 1 {
-				p.Problem(words[1], "nothing may follow a closing brace on its line")
+				p.AddProblem(words[1], "nothing may follow a closing brace on its line")
 			}
 			if depth == 0 {
-				p.Problem(first, "closing brace without a block")
+				p.AddProblem(first, "closing brace without a block")
 				continue
 			}
 			return all
 		}
 		d := Directive{Name: first, Args: words[1:]}
 		if last.Is("{") {
-			d.Open, d.Args = true, words[1:max(1, len(words)-1)]
+			d.HasBlock, d.Args = true, words[1:max(1, len(words)-1)]
 			if first.Is("{") {
-				p.Problem(first, "a block needs a name before its brace")
+				p.AddProblem(first, "a block needs a name before its brace")
 			}
 			d.Block = p.blocks(last, depth+1)
 		}
 		for _, w := range d.Args {
 			if w.Is("{") || w.Is("}") {
-				p.Problem(w, "misplaced brace: an opening brace must end its line, a closing brace needs a line of its own")
+				p.AddProblem(w, "misplaced brace: an opening brace must end its line, a closing brace needs a line of its own")
 			}
 		}
 		all = append(all, d)
 	}
 	if depth > 0 {
-		p.Problem(brace, "this block is never closed")
+		p.AddProblem(brace, "this block is never closed")
 	}
 	return all
 }
@@ -223,10 +223,10 @@
 			b.WriteRune(runes[i])
 		}
 	}
-	p.Problem(w, "this quote is never closed")
+	p.AddProblem(w, "this quote is never closed")
 	w.Text = b.String()
 	return w, len(runes)
 }
 
-// Lines returns the number of lines of the text, at least 1.
-func (p *Parser) Lines() int { return len(p.lines) }
+// LineCount returns the number of lines of the text, at least 1.
+func (p *Parser) LineCount() int { return len(p.lines) }
--- a/inventory/corpus_test.go
+++ b/inventory/corpus_test.go
@@ -20,12 +20,12 @@
 		}
 		for m := range 1 + rng.IntN(5) {
 			n := Node{Name: fmt.Sprintf("db%d-%02d", sl, m), Host: fmt.Sprintf("10.%d.0.%d", sl, m+1), Port: 5432 + rng.IntN(3), Slice: slice,
-				Hall: []string{"reykjavik-a", "hafnarfjordur-b"}[rng.IntN(2)], State: Ready, Labels: map[string]string{}}
+				Zone: []string{"reykjavik-a", "hafnarfjordur-b"}[rng.IntN(2)], State: Ready, Labels: map[string]string{}}
 			if rng.IntN(4) == 0 {
 				n.Host = fmt.Sprintf("%s.db.example", n.Name)
 			}
 			if m > 0 && rng.IntN(5) == 0 {
-				n.State = []State{Draining, Gone}[rng.IntN(2)]
+				n.State = []State{Draining, Removed}[rng.IntN(2)]
 			}
 			if rng.IntN(3) == 0 {
 				n.Started = time.Date(2026, 3, 1, 6, rng.IntN(60), 0, 0, time.UTC)
@@ -42,7 +42,7 @@
 
 // fieldTexts returns a node's fields as text, by the name of their CSV column.
 func fieldTexts(n *Node) map[string]string {
-	m := map[string]string{"name": n.Name, "host": n.Host, "port": strconv.Itoa(n.Port), "slice": n.Slice, "hall": n.Hall, "state": string(n.State)}
+	m := map[string]string{"name": n.Name, "host": n.Host, "port": strconv.Itoa(n.Port), "slice": n.Slice, "hall": n.Zone, "state": string(n.State)}
 	if !n.Started.IsZero() {
 		m["started"] = n.Started.Format(time.RFC3339)
 	}
@@ -206,7 +206,7 @@
 			n := &s.Nodes[i]
 			lines[i] = line
 			writeLine("        %s:", n.Name)
-			writeLine("          hall: %s", scalarText(rng, "hall", n.Hall))
+			writeLine("          hall: %s", scalarText(rng, "hall", n.Zone))
 			if n.Host != n.Name {
 				writeLine("          %s: %s", []string{"host", "ansible_host"}[rng.IntN(2)], scalarText(rng, "host", n.Host))
 			}
@@ -410,7 +410,7 @@
 				}
 				count++
 				byName[m.name]++
-				_, err := Parse([]File{{f.name, []byte(damaged)}}, Options{Halls: []string{"reykjavik-a", "hafnarfjordur-b", "nowhere"}})
+				_, err := Parse([]File{{f.name, []byte(damaged)}}, Options{Zones: []string{"reykjavik-a", "hafnarfjordur-b", "nowhere"}})
 				problems, _ := err.(Problems)
 				if !slices.ContainsFunc(problems, func(p Problem) bool { return p.Line == line }) {
 					t.Fatalf("seed %d, %s, %s: line %d is not named:\n%v\n%s", seed, f.name, m.name, line, err, damaged)
--- a/inventory/inventory.go
+++ b/inventory/inventory.go
@@ -22,7 +22,7 @@
 const (
 	Ready    State = "ready"
 	Draining State = "draining"
-	Gone     State = "gone"
+	Removed  State = "gone"
 )
 
 // Origin is the position of a node or a mistake in the files.
@@ -46,7 +46,7 @@
 	Host    string
 	Port    int
 	Slice   string
-	Hall    string
+	Zone    string
 	State   State
 	Started time.Time // last start of its database process; zero if unknown
 	Labels  map[string]string
@@ -58,7 +58,7 @@
 
 // Equal reports whether n and o have equal fields, apart from Origin.
 func (n *Node) Equal(o *Node) bool {
-	return n.Name == o.Name && n.Host == o.Host && n.Port == o.Port && n.Slice == o.Slice && n.Hall == o.Hall &&
+	return n.Name == o.Name && n.Host == o.Host && n.Port == o.Port && n.Slice == o.Slice && n.Zone == o.Zone &&
 		n.State == o.State && n.Started.Equal(o.Started) && mapsEqual(n.Labels, o.Labels)
 }
 
@@ -163,12 +163,12 @@
 	n.Name = c.textField(r, "name", true, maxNameBytes)
 	n.Host = c.textField(r, "host", true, maxNameBytes)
 	n.Slice = c.textField(r, "slice", true, maxSliceBytes)
-	n.Hall = c.textField(r, "hall", false, maxNameBytes)
+	n.Zone = c.textField(r, "hall", false, maxNameBytes)
 	c.checkHost(r, n.Host)
 	n.Port = c.parsePort(r)
 	c.parseState(r, &n)
 	c.parseStarted(r, &n)
-	c.checkZone(r, n.Hall)
+	c.checkZone(r, n.Zone)
 	if len(r.labels) > maxLabels {
 		c.problem(r.origin, "node %q has %d labels; at most %d are allowed", n.Name, len(r.labels), maxLabels)
 	}
@@ -240,7 +240,7 @@
 		return
 	}
 	n.State = State(v.text)
-	if n.State != Ready && n.State != Draining && n.State != Gone {
+	if n.State != Ready && n.State != Draining && n.State != Removed {
 		c.problem(v.at, "state %q is not one of ready, draining, gone%s", v.text, suggestion(v.text, []string{"ready", "draining", "gone"}))
 	}
 }
@@ -281,7 +281,7 @@
 			byName[n.Name] = n
 		}
 		key := strings.ToLower(n.Address())
-		if first := byAddress[key]; first != nil && n.Host != "" && first.Name != n.Name && n.State != Gone && first.State != Gone {
+		if first := byAddress[key]; first != nil && n.Host != "" && first.Name != n.Name && n.State != Removed && first.State != Removed {
 			c.problem(n.Origin, "address %s is already used by node %q at %s", n.Address(), first.Name, first.Origin)
 		} else {
 			byAddress[key] = n
--- a/inventory/lastgood.go
+++ b/inventory/lastgood.go
@@ -17,8 +17,8 @@
 
 // LastGood is the last inventory without mistakes, and the time at which it was read.
 type LastGood struct {
-	Taken time.Time
-	Set   *Set
+	LoadedAt time.Time
+	Set      *Set
 }
 
 type storedSet struct {
@@ -40,9 +40,9 @@
 // Save replaces the file at path by l. The file is CBOR between a magic number and an xxHash. See ReplaceFile for crashes and
 // errors.
 func (l *LastGood) Save(path string) error {
-	stored := storedSet{Taken: l.Taken.UnixNano()}
+	stored := storedSet{Taken: l.LoadedAt.UnixNano()}
 	for _, n := range l.Set.Nodes {
-		s := storedNode{Name: n.Name, Host: n.Host, Port: n.Port, Slice: n.Slice, Zone: n.Hall, State: n.State, Labels: n.Labels}
+		s := storedNode{Name: n.Name, Host: n.Host, Port: n.Port, Slice: n.Slice, Zone: n.Zone, State: n.State, Labels: n.Labels}
 		if !n.Started.IsZero() {
 			s.Started = n.Started.UnixNano()
 		}
@@ -119,7 +119,7 @@
 	}
 	set := &Set{}
 	for i, s := range stored.Nodes {
-		node := Node{Name: s.Name, Host: s.Host, Port: s.Port, Slice: s.Slice, Hall: s.Zone, State: s.State, Labels: s.Labels,
+		node := Node{Name: s.Name, Host: s.Host, Port: s.Port, Slice: s.Slice, Zone: s.Zone, State: s.State, Labels: s.Labels,
 			Origin: Origin{File: path, Line: i + 1}}
 		if node.Labels == nil {
 			node.Labels = map[string]string{}
@@ -129,5 +129,5 @@
 		}
 		set.Nodes = append(set.Nodes, node)
 	}
-	return &LastGood{Taken: time.Unix(0, stored.Taken), Set: set}, nil
+	return &LastGood{LoadedAt: time.Unix(0, stored.Taken), Set: set}, nil
 }
--- a/inventory/lint.go
+++ b/inventory/lint.go
@@ -28,7 +28,7 @@
 			t = &sliceStats{first: n, zones: map[string]bool{}}
 			bySlice[n.Slice] = t
 		}
-		t.zones[n.Hall] = true
+		t.zones[n.Zone] = true
 		switch n.State {
 		case Ready:
 			t.ready++
@@ -39,7 +39,7 @@
 			c.problem(n.Origin, "the name of node %q differs from %q at %s only in case", n.Name, o.Name, o.Origin)
 		}
 		byLowerName[strings.ToLower(n.Name)] = n
-		if n.Hall == "" {
+		if n.Zone == "" {
 			c.problem(n.Origin, "node %q has no hall", n.Name)
 		}
 		if n.Started.After(now) {
@@ -55,7 +55,7 @@
 			c.problem(t.first.Origin, "slice %q has no ready node", name)
 		case t.ready == 1:
 			c.problem(t.first.Origin, "slice %q has only one ready node; no node can take over from it", name)
-		case len(t.zones) == 1 && t.first.Hall != "":
+		case len(t.zones) == 1 && t.first.Zone != "":
 			c.problem(t.first.Origin, "slice %q has all its nodes in one hall", name)
 		}
 		if t.draining > t.ready {
--- a/inventory/load.go
+++ b/inventory/load.go
@@ -14,7 +14,7 @@
 
 // Options are requirements on an inventory, from the settings of a driver.
 type Options struct {
-	Halls      []string // known zones; nil accepts any
+	Zones      []string // known zones; nil accepts any
 	MinMembers int      // minimum number of nodes per slice, not counting those with state gone; below 1 counts as 1
 }
 
@@ -101,7 +101,7 @@
 
 // Parse parses and checks files as one inventory. The error, if any, is Problems; the set is nil then.
 func Parse(files []File, o Options) (*Set, error) {
-	c := &collector{zones: o.Halls}
+	c := &collector{zones: o.Zones}
 	for _, f := range files {
 		if !c.checkText(f) {
 			continue
@@ -179,7 +179,7 @@
 		if first[n.Slice] == nil {
 			first[n.Slice] = n
 		}
-		if n.State != Gone {
+		if n.State != Removed {
 			count[n.Slice]++
 		}
 	}
--- a/inventory/reader_test.go
+++ b/inventory/reader_test.go
@@ -50,7 +50,7 @@
 	}
 	got := map[string]string{}
 	for _, n := range set.Nodes {
-		got[n.Name] = fmt.Sprintf("%s %s %s %s rack=%s", n.Address(), n.Slice, n.Hall, n.State, n.Labels["rack"])
+		got[n.Name] = fmt.Sprintf("%s %s %s %s rack=%s", n.Address(), n.Slice, n.Zone, n.State, n.Labels["rack"])
 	}
 	want := map[string]string{
 		"odd1": "odd1:5432 notices north ready rack=r0", "odd3": "odd3:5432 notices north ready rack=r0", "odd5": "odd5:5432 notices north ready rack=r0",
@@ -92,7 +92,7 @@
 nodes:
   - {name: d, host: h4, slice: s}
 `, Options{})
-	if err != nil || len(set.Nodes) != 4 || set.Nodes[1].Labels["rack"] != "r1" || set.Nodes[2].Hall != "south" {
+	if err != nil || len(set.Nodes) != 4 || set.Nodes[1].Labels["rack"] != "r1" || set.Nodes[2].Zone != "south" {
 		t.Fatalf("%+v, %v", set, err)
 	}
 }
@@ -168,7 +168,7 @@
 
 func TestZonesAndMembers(t *testing.T) {
 	text := "name,host,slice,hall\na,h1,s,north\nb,h2,s,nroth\nc,h3,t,south\n"
-	_, err := parseOne("i.csv", text, Options{Halls: []string{"north", "south"}, MinMembers: 2})
+	_, err := parseOne("i.csv", text, Options{Zones: []string{"north", "south"}, MinMembers: 2})
 	for _, want := range []string{`i.csv:3:8: hall "nroth" is not listed in the settings; did you mean "north"?`, `slice "t" has 1 members`} {
 		if err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%v does not contain %s", err, want)
@@ -284,7 +284,7 @@
 		set := &Set{}
 		for i := range n {
 			set.Nodes = append(set.Nodes, Node{Name: fmt.Sprintf("db%05d", i), Host: fmt.Sprintf("10.%d.%d.%d", i/65536, i/256%256, i%256), Port: 5432,
-				Slice: fmt.Sprintf("s%d", i/6), Hall: "north", State: Ready, Labels: map[string]string{"rack": "r1"}})
+				Slice: fmt.Sprintf("s%d", i/6), Zone: "north", State: Ready, Labels: map[string]string{"rack": "r1"}})
 		}
 		rng := rand.New(rand.NewPCG(1, 1))
 		for _, f := range forms {
--- a/inventory/watch_test.go
+++ b/inventory/watch_test.go
@@ -181,7 +181,7 @@
 		t.Fatal(err)
 	}
 	back, err := LoadLastGood(path)
-	if err != nil || !back.Set.Equal(set) || !back.Taken.Equal(taken) {
+	if err != nil || !back.Set.Equal(set) || !back.LoadedAt.Equal(taken) {
 		t.Fatalf("%+v, %v", back, err)
 	}
 	text, _ := os.ReadFile(path)
--- a/inventory/write.go
+++ b/inventory/write.go
@@ -28,7 +28,7 @@
 func outputNodes(s *Set) []outputNode {
 	nodes := make([]outputNode, len(s.Nodes))
 	for i, n := range s.Nodes {
-		nodes[i] = outputNode{n.Name, n.Host, n.Port, n.Slice, n.Hall, n.State, nil, n.Labels}
+		nodes[i] = outputNode{n.Name, n.Host, n.Port, n.Slice, n.Zone, n.State, nil, n.Labels}
 		if !n.Started.IsZero() {
 			text := n.Started.Format(time.RFC3339)
 			nodes[i].Started = &text
@@ -126,7 +126,7 @@
 		if !n.Started.IsZero() {
 			started = n.Started.Format(time.RFC3339)
 		}
-		zone := n.Hall
+		zone := n.Zone
 		if zone == "" {
 			zone = "-"
 		}
--- a/lab/audit.go
+++ b/lab/audit.go
@@ -59,13 +59,13 @@
 	}
 	text := fmt.Sprintf("%s %s by %s at %v", role, c.Served.Node, c.Driver, position.Position{Timeline: c.Served.Timeline, LSN: c.Served.Lsn})
 	if tok, err := token.Parse(c.Token); err == nil {
-		if at, ok := tok.At(c.Slice); ok {
+		if at, ok := tok.Position(c.Slice); ok {
 			text += fmt.Sprintf(", token %v with transactions below %d", at, at.Transactions.Below)
 		}
 	}
 	for _, s := range statements {
 		if s.Ran && s.Kind == standin.KindRead {
-			text += fmt.Sprintf(", ran at %s with log up to %v and all transactions below %d over", s.Node, s.Position, s.Over)
+			text += fmt.Sprintf(", ran at %s with log up to %v and all transactions below %d over", s.Node, s.Position, s.XIDWatermark)
 		}
 	}
 	return text
--- a/lab/badday.go
+++ b/lab/badday.go
@@ -18,7 +18,7 @@
 
 // SmallNode is a stand-in with so little capacity that a few dozen clients can load it fully.
 var SmallNode = standin.Config{Cores: 1, Read: 8 * time.Millisecond, Write: 6 * time.Millisecond,
-	Ship: 5 * time.Millisecond, Apply: time.Millisecond, MaxConns: 200, ColdFrom: 0.1, Ramp: 3 * time.Second}
+	ShipDelay: 5 * time.Millisecond, ReplayTime: time.Millisecond, MaxConns: 200, ColdFrom: 0.1, RampTime: 3 * time.Second}
 
 // day is a run of a fleet under load and faults.
 type day struct {
@@ -54,7 +54,7 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	d := newDay(ctx, f, rand.New(rand.NewPCG(spec.Seed, salt)))
-	d.name, d.goroutinesBefore, d.cancel, d.maxStall = name, before, cancel, StallMeter(ctx)
+	d.name, d.goroutinesBefore, d.cancel, d.maxStall = name, before, cancel, MeasureStalls(ctx)
 	return d, nil
 }
 
@@ -96,9 +96,9 @@
 	}
 }
 
-// StallMeter measures, until ctx ends, how late this machine runs a ready goroutine. The result holds the longest
+// MeasureStalls measures, until ctx ends, how late this machine runs a ready goroutine. The result holds the longest
 // delay so far, in nanoseconds.
-func StallMeter(ctx context.Context) *atomic.Int64 {
+func MeasureStalls(ctx context.Context) *atomic.Int64 {
 	var longest atomic.Int64
 	go func() {
 		const interval = 2 * time.Millisecond
@@ -148,7 +148,7 @@
 	if n := runtime.NumGoroutine(); n > goroutines {
 		r.Leaks = append(r.Leaks, fmt.Sprintf("%d goroutines more than before", n-goroutines))
 	}
-	if n := d.fleet.Trace.Open(); n > 0 {
+	if n := d.fleet.Trace.OpenConns(); n > 0 {
 		r.Leaks = append(r.Leaks, fmt.Sprintf("%d connections open at the stand-ins", n))
 	}
 	if r.Counts[Served] < 100 {
@@ -197,7 +197,7 @@
 		d.promotionLocks[g].Lock()
 		defer d.promotionLocks[g].Unlock()
 		old := g.Primary()
-		old.Die()
+		old.Crash()
 		d.sleep(detect)
 		if next := g.MostAdvanced(); next != nil {
 			g.Promote(next)
@@ -238,7 +238,7 @@
 			d.countFault("promotion")
 		}
 		d.sleep(fenceDelay)
-		old.Die()
+		old.Crash()
 		d.restart(old)
 	})
 }
@@ -263,13 +263,13 @@
 		on, off func(n *standin.Node)
 	}
 	for _, t := range []trouble{
-		{"replica lagged", func(n *standin.Node) { n.Lag(60) }, func(n *standin.Node) { n.Lag(1) }},
+		{"replica lagged", func(n *standin.Node) { n.SlowReplay(60) }, func(n *standin.Node) { n.SlowReplay(1) }},
 		{"node hung", func(n *standin.Node) { n.Hang(true) }, func(n *standin.Node) { n.Hang(false) }},
 		{"node stalled", func(n *standin.Node) { n.Stall(300 * time.Millisecond) }, func(*standin.Node) {}},
 		{"node slow", func(n *standin.Node) { n.Slow(6) }, func(n *standin.Node) { n.Slow(1) }},
 		{"node refused", func(n *standin.Node) { n.Refuse("57P03") }, func(n *standin.Node) { n.Refuse("") }},
 		{"node ended sessions", func(n *standin.Node) { n.Refuse("57P01") }, func(n *standin.Node) { n.Refuse("") }},
-		{"connections cut", func(n *standin.Node) { n.CutAfter(1500) }, func(n *standin.Node) { n.CutAfter(0) }},
+		{"connections cut", func(n *standin.Node) { n.DisconnectAfter(1500) }, func(n *standin.Node) { n.DisconnectAfter(0) }},
 	} {
 		which, duration := pick(), d.randomDuration(500*time.Millisecond, 2*time.Second)
 		d.schedule(d.randomDuration(500*time.Millisecond, 7*time.Second), t.name, func(context.Context) {
@@ -316,7 +316,7 @@
 		}
 		life(balance.LifeRemoved)
 		d.sleep(300 * time.Millisecond)
-		n.Die()
+		n.Crash()
 		d.sleep(400 * time.Millisecond)
 		d.restart(n)
 	})
--- a/lab/bench_test.go
+++ b/lab/bench_test.go
@@ -33,8 +33,8 @@
 }
 
 func ownReads(b *testing.B, gap, apply time.Duration) (primary, served, asked int) {
-	node := standin.Config{Cores: 2, Read: 4 * time.Millisecond, Write: 4 * time.Millisecond, Ship: 5 * time.Millisecond, Apply: apply,
-		MaxConns: 200, ColdFrom: 1, Ramp: time.Second}
+	node := standin.Config{Cores: 2, Read: 4 * time.Millisecond, Write: 4 * time.Millisecond, ShipDelay: 5 * time.Millisecond, ReplayTime: apply,
+		MaxConns: 200, ColdFrom: 1, RampTime: time.Second}
 	f, err := NewFleet(Spec{Slices: 1, Members: 4, Drivers: 1, Node: node, Seed: 1})
 	if err != nil {
 		b.Fatal(err)
@@ -96,14 +96,14 @@
 					f.nodes = append(f.nodes, NodeOf(n))
 				}
 				f.mu.Unlock()
-				before := len(f.Trace.Opens())
+				before := len(f.Trace.Connections())
 				begin := time.Now()
 				f.UpdateNodes(func(*settings.Node) {})
-				for len(f.Trace.Opens()) < before+drivers*newcomers && time.Since(begin) < time.Minute {
+				for len(f.Trace.Connections()) < before+drivers*newcomers && time.Since(begin) < time.Minute {
 					time.Sleep(20 * time.Millisecond)
 				}
 				byNode := map[string][]time.Time{}
-				for _, o := range f.Trace.Opens()[before:] {
+				for _, o := range f.Trace.Connections()[before:] {
 					byNode[o.Node] = append(byNode[o.Node], o.At)
 				}
 				most, first, last := 0, time.Hour, time.Duration(0)
--- a/lab/chain.go
+++ b/lab/chain.go
@@ -88,10 +88,10 @@
 
 func chainOf(seed uint64, steps int64) (*Report, error) {
 	before := runtime.NumGoroutine()
-	node := standin.Config{Cores: 4, Read: time.Millisecond, Write: time.Millisecond, Ship: 4 * time.Millisecond,
-		Apply: 300 * time.Microsecond, MaxConns: 400, ColdFrom: 0.3, Ramp: time.Second}
+	node := standin.Config{Cores: 4, Read: time.Millisecond, Write: time.Millisecond, ShipDelay: 4 * time.Millisecond,
+		ReplayTime: 300 * time.Microsecond, MaxConns: 400, ColdFrom: 0.3, RampTime: time.Second}
 	if seed%2 == 1 {
-		node.Settle = slowCommit
+		node.CommitDelay = slowCommit
 	}
 	f, err := NewFleet(Spec{Slices: 2, Members: 4, Drivers: 2, Node: node, Seed: seed, Extra: "tokens history on\n"})
 	if err != nil {
@@ -99,7 +99,7 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	maxStall := StallMeter(ctx)
+	maxStall := MeasureStalls(ctx)
 	c := &chain{day: newDay(ctx, f, rand.New(rand.NewPCG(seed, 0x636861)))}
 	if err := c.serve(); err != nil {
 		return nil, err
@@ -109,7 +109,7 @@
 	var clients sync.WaitGroup
 	begin := time.Now()
 	for i := range 48 {
-		r := &reader{chain: c, name: fmt.Sprintf("r%d", i), rng: rand.New(rand.NewPCG(seed, uint64(i))), versions: map[string]version{}, pastBags: map[int]token.Bag{}}
+		r := &reader{chain: c, name: fmt.Sprintf("r%d", i), rng: rand.New(rand.NewPCG(seed, uint64(i))), versions: map[string]version{}, pastBags: map[int]token.Set{}}
 		clients.Go(func() {
 			for ctx.Err() == nil && (c.steps.Load() < steps || time.Since(begin) < 6*time.Second) && time.Since(begin) < 15*time.Second {
 				r.step(ctx)
@@ -133,7 +133,7 @@
 	r.Missing = nil
 	st := c.pages.Stats()
 	r.Faults = append(r.Faults, fmt.Sprintf("tokens dropped %d", c.dropped.Load()), fmt.Sprintf("pages mixed up %d, found out %d", c.mixed.Load(), c.detected.Load()),
-		fmt.Sprintf("cache hits %d of %d, behind %d", st.Hits, st.Hits+st.Absent+st.Expired+st.Behind, st.Behind),
+		fmt.Sprintf("cache hits %d of %d, behind %d", st.Hits, st.Hits+st.Absent+st.Expired+st.Stale, st.Stale),
 		fmt.Sprintf("reads that would have been stale without tokens %d", c.wouldBeStale.Load()))
 	if c.steps.Load() < steps {
 		r.Missing = append(r.Missing, fmt.Sprintf("%d steps of %d", c.steps.Load(), steps))
@@ -197,7 +197,7 @@
 // commentService executes the statement at a driver, with the collected tokens.
 func (c *chain) commentService(w http.ResponseWriter, r *http.Request) {
 	col := carry.FromContext(r.Context())
-	carried := col.Bag()
+	carried := col.Tokens()
 	tag := fmt.Sprintf("c%d", c.seq.Add(1))
 	slice, thread := r.FormValue("slice"), r.FormValue("thread")
 	req := &pb.ExecuteRequest{Slice: slice, Class: "own-read", Token: carried.String(), Timeout: durationpb.New(1500 * time.Millisecond),
@@ -214,7 +214,7 @@
 		http.Error(w, err.Error(), http.StatusServiceUnavailable)
 		return
 	}
-	col.Covered(carried, res.Token)
+	col.Replace(carried, res.Token)
 	p := page{Token: res.Token, Holds: res.Holds, Timeline: res.Served.Timeline, At: res.Served.Lsn}
 	if len(res.Rows) > 0 {
 		p.Value, p.LSN = res.Rows[0].Values[0].GetTextValue(), res.Rows[0].Values[1].GetIntValue()
@@ -231,9 +231,9 @@
 
 // tokenPosition returns the position that a request's token requires. For reads it also counts whether a randomly
 // chosen replica would be behind it.
-func (c *chain) tokenPosition(tag, slice string, carried token.Bag, write bool) position.Position {
-	t, _ := carried.Peek()
-	need, _ := t.At(slice)
+func (c *chain) tokenPosition(tag, slice string, carried token.Set, write bool) position.Position {
+	t, _ := carried.JoinUnverified()
+	need, _ := t.Position(slice)
 	if write || need.IsZero() || need.LSN == position.UnknownLSN {
 		return need
 	}
@@ -243,7 +243,7 @@
 		}
 		nodes := g.Nodes()
 		if n := nodes[rand.IntN(len(nodes))]; n != g.Primary() && n.Running() {
-			if at := n.Stands(); at.Timeline < need.Timeline || at.LSN < need.LSN {
+			if at := n.Position(); at.Timeline < need.Timeline || at.LSN < need.LSN {
 				c.wouldBeStale.Add(1)
 			}
 		}
@@ -284,7 +284,7 @@
 	col := carry.FromContext(r.Context())
 	q := url.Values{"slice": {r.FormValue("slice")}, "thread": {r.FormValue("thread")}}
 	key := causalcache.Key{Name: q.Encode(), Slice: r.FormValue("slice")}
-	fetch := func(ctx context.Context, seen token.Bag) (causalcache.Entry[page], error) {
+	fetch := func(ctx context.Context, seen token.Set) (causalcache.Entry[page], error) {
 		ctx, own := carry.NewContext(ctx, seen.Texts()...)
 		p, res, err := c.call(ctx, http.MethodGet, c.comments.URL, q)
 		if res != nil {
@@ -293,13 +293,13 @@
 				err = &reasonError{res.Header.Get("X-Lab-Reason")}
 			}
 		}
-		p.Settled = seen.HasUnknown() && !own.Bag().HasUnknown()
+		p.Settled = seen.HasUnknown() && !own.Tokens().HasUnknown()
 		held, _ := token.Parse(p.Holds)
-		return causalcache.Entry[page]{Value: p, Tokens: token.ParseBag(p.Token), Holds: held}, err
+		return causalcache.Entry[page]{Value: p, Tokens: token.ParseSet(p.Token), LowerBound: held}, err
 	}
 	var e causalcache.Entry[page]
 	var err error
-	after := col.Bag()
+	after := col.Tokens()
 	carried := after
 	if r.FormValue("fresh") != "" {
 		e, err = fetch(r.Context(), after)
@@ -313,13 +313,13 @@
 		http.Error(w, err.Error(), http.StatusServiceUnavailable)
 		return
 	}
-	if _, complete := col.Bag().Peek(); e.Value.Dropped && (!complete || r.FormValue("fresh") != "") {
+	if _, complete := col.Tokens().JoinUnverified(); e.Value.Dropped && (!complete || r.FormValue("fresh") != "") {
 		w.Header().Set(dropMark, "1") // else the web tier detects it
 	}
 	if e.Value.Settled && !e.Value.Dropped {
-		col.Covered(carried, e.Value.Token)
+		col.Replace(carried, e.Value.Token)
 	}
-	col.Answered(after.Texts()...)
+	col.AddAnswer(after.Texts()...)
 	p := e.Value
 	if first, loaded := c.firstPages.LoadOrStore(key, p); loaded && r.FormValue("fresh") == "" && rand.IntN(50) == 0 {
 		p = first.(page) // an old page with the current token in its header
@@ -337,7 +337,7 @@
 func (c *chain) webTier(w http.ResponseWriter, r *http.Request) {
 	col := carry.FromContext(r.Context())
 	slice := r.FormValue("slice")
-	seen, _ := col.Bag().Peek()
+	seen, _ := col.Tokens().JoinUnverified()
 	q := url.Values{"slice": {slice}, "thread": {r.FormValue("thread")}}
 	ask := func() (page, *http.Response, error) {
 		if r.Method == http.MethodPost {
@@ -348,8 +348,8 @@
 	p, res, err := ask()
 	if err == nil && r.Method == http.MethodGet {
 		holds, _ := token.Parse(p.Holds)
-		need, any := seen.At(slice)
-		if at, ok := holds.At(slice); any && (!ok || at.LSN == position.UnknownLSN || !at.Covers(need)) {
+		need, any := seen.Position(slice)
+		if at, ok := holds.Position(slice); any && (!ok || at.LSN == position.UnknownLSN || !at.Covers(need)) {
 			c.detected.Add(1)
 			q.Set("fresh", "1")
 			p, res, err = ask()
@@ -366,7 +366,7 @@
 		http.Error(w, err.Error(), http.StatusServiceUnavailable)
 		return
 	}
-	col.Answered(p.Token)
+	col.AddAnswer(p.Token)
 	json.NewEncoder(w).Encode(p)
 }
 
@@ -381,9 +381,9 @@
 	chain    *chain
 	name     string
 	rng      *rand.Rand
-	bag      token.Bag
+	bag      token.Set
 	versions map[string]version // by slice and thread, the newest write that it made or read and whose token it holds
-	pastBags map[int]token.Bag
+	pastBags map[int]token.Set
 	reads    int
 }
 
@@ -397,7 +397,7 @@
 	r.read(ctx, g, thread)
 }
 
-func (r *reader) do(ctx context.Context, method string, g *standin.Group, thread string, bag token.Bag) (page, *http.Response, error) {
+func (r *reader) do(ctx context.Context, method string, g *standin.Group, thread string, bag token.Set) (page, *http.Response, error) {
 	req, _ := http.NewRequestWithContext(context.WithoutCancel(ctx), method, r.chain.web.URL+"/?"+url.Values{"slice": {g.Name}, "thread": {thread}}.Encode(), nil)
 	if !bag.IsEmpty() {
 		req.AddCookie(&http.Cookie{Name: carry.Cookie, Value: bag.String()})
@@ -414,7 +414,7 @@
 	}
 	for _, ck := range res.Cookies() {
 		if ck.Name == carry.Cookie {
-			r.bag = r.bag.Replace(bag, "").Absorb(token.ParseBag(ck.Value)) // as a browser's cookie jar does: the answer includes what the request sent
+			r.bag = r.bag.Replace(bag, "").Absorb(token.ParseSet(ck.Value)) // as a browser's cookie jar does: the answer includes what the request sent
 		}
 	}
 	return p, res, json.Unmarshal(text, &p)
@@ -427,8 +427,8 @@
 func (r *reader) write(ctx context.Context, g *standin.Group, thread string) {
 	p, res, err := r.do(ctx, http.MethodPost, g, thread, r.bag)
 	if err == nil && res.Header.Get(dropMark) == "" {
-		if t, complete := r.bag.Peek(); complete {
-			if at, ok := t.At(g.Name); ok && at.LSN >= uint64(p.LSN) {
+		if t, complete := r.bag.JoinUnverified(); complete {
+			if at, ok := t.Position(g.Name); ok && at.LSN >= uint64(p.LSN) {
 				r.versions[g.Name+"/"+thread] = version{p.Value, position.Position{Timeline: p.Timeline, LSN: uint64(p.LSN)}}
 			}
 		}
@@ -447,7 +447,7 @@
 	if err != nil {
 		if res != nil && res.Header.Get("X-Lab-Reason") != "" && res.Header.Get("X-Lab-Reason") != "REFUSED" && res.Header.Get("X-Lab-Reason") != "FAILED" {
 			r.chain.countFault(res.Header.Get("X-Lab-Reason"))
-			r.bag, r.versions = token.Bag{}, map[string]version{}
+			r.bag, r.versions = token.Set{}, map[string]version{}
 		}
 		return
 	}
@@ -455,8 +455,8 @@
 		return
 	}
 	known, ok := r.versions[g.Name+"/"+thread]
-	t, _ := bag.Peek()
-	if at, still := t.At(g.Name); ok && still && at.Covers(known.at) { // else the cookie does not hold the token
+	t, _ := bag.JoinUnverified()
+	if at, still := t.Position(g.Name); ok && still && at.Covers(known.at) { // else the cookie does not hold the token
 		r.chain.mu.Lock()
 		r.chain.checkedReads = append(r.chain.checkedReads, checkedRead{r.name, g.Name, thread, known.tag, p})
 		r.chain.mu.Unlock()
@@ -467,9 +467,9 @@
 // noteVersion records the version that a page showed if the cookie holds the token that came with it.
 func (r *reader) noteVersion(slice, thread string, p page) {
 	seen, err := token.Parse(p.Token)
-	held, complete := r.bag.Peek()
-	at, ok := seen.At(slice)
-	if has, _ := held.At(slice); err == nil && complete && ok && p.Value != "" && at.LSN != position.UnknownLSN && has.Covers(at) {
+	held, complete := r.bag.JoinUnverified()
+	at, ok := seen.Position(slice)
+	if has, _ := held.Position(slice); err == nil && complete && ok && p.Value != "" && at.LSN != position.UnknownLSN && has.Covers(at) {
 		r.versions[slice+"/"+thread] = version{p.Value, at}
 	}
 }
@@ -526,9 +526,9 @@
 			n := g.Nodes()[1+i]
 			times, duration := float64(20+c.rng.IntN(60)), c.randomDuration(500*time.Millisecond, 1500*time.Millisecond)
 			c.schedule(c.randomDuration(300*time.Millisecond, 4*time.Second), "replica lagged", func(context.Context) {
-				n.Lag(times)
+				n.SlowReplay(times)
 				c.sleep(duration)
-				n.Lag(1)
+				n.SlowReplay(1)
 			})
 		}
 		c.schedule(c.randomDuration(1500*time.Millisecond, 3*time.Second), "promotion", func(context.Context) { c.failOver(g, false) })
@@ -545,17 +545,17 @@
 	old := g.Primary()
 	if loseCommits {
 		for _, n := range g.Nodes() {
-			n.Lag(1e6)
+			n.SlowReplay(1e6)
 		}
 		d.sleep(150 * time.Millisecond)
 	}
-	old.Die()
+	old.Crash()
 	d.sleep(100 * time.Millisecond)
 	if next := g.MostAdvanced(); next != nil {
 		g.Promote(next)
 	}
 	for _, n := range g.Nodes() {
-		n.Lag(1)
+		n.SlowReplay(1)
 	}
 	d.sleep(200 * time.Millisecond)
 	d.restart(old)
--- a/lab/client.go
+++ b/lab/client.go
@@ -302,7 +302,7 @@
 // positionToken returns a token for the log position in holds without its transactions.
 func positionToken(slice, holds string) string {
 	tok, err := token.Parse(holds)
-	at, ok := tok.At(slice)
+	at, ok := tok.Position(slice)
 	if err != nil || !ok {
 		return ""
 	}
@@ -331,7 +331,7 @@
 		select {
 		case h := <-s.inbox:
 			for slice, toks := range h.tokens {
-				s.tokens[slice] = token.ParseBag(append(toks, s.tokens[slice])...).String()
+				s.tokens[slice] = token.ParseSet(append(toks, s.tokens[slice])...).String()
 				s.covered[slice] = append(slices.Clone(s.covered[slice]), h.covers[slice]...)
 			}
 		default:
--- a/lab/dayfile.go
+++ b/lab/dayfile.go
@@ -193,11 +193,11 @@
 
 // node returns the configuration of the stand-ins, slow enough that all together serve replayRate.
 func (d *dayFile) node(s *scaledDay) standin.Config {
-	cfg := standin.Config{Cores: 2, Ship: time.Duration(d.Fam.Ship) * time.Microsecond, Apply: time.Millisecond, MaxConns: 200,
-		ColdFrom: 0.2, Ramp: 3 * time.Second}
+	cfg := standin.Config{Cores: 2, ShipDelay: time.Duration(d.Fam.Ship) * time.Microsecond, ReplayTime: time.Millisecond, MaxConns: 200,
+		ColdFrom: 0.2, RampTime: 3 * time.Second}
 	if len(d.Tiers) > 0 && len(d.Tiers[0].Kinds) > 0 {
 		k := d.Tiers[0].Kinds[0]
-		cfg.ColdFrom, cfg.Ramp = k.ColdFrom, max(time.Second, s.span(k.Cold))
+		cfg.ColdFrom, cfg.RampTime = k.ColdFrom, max(time.Second, s.span(k.Cold))
 		if stated := d.Tiers[0].StatedColdFrom; stated > 0 {
 			cfg.ColdFrom = min(cfg.ColdFrom, stated)
 		}
--- a/lab/demo.go
+++ b/lab/demo.go
@@ -20,7 +20,7 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	maxStall := StallMeter(ctx)
+	maxStall := MeasureStalls(ctx)
 	g := f.Groups[0]
 	d := newDay(ctx, f, rand.New(rand.NewPCG(1, 1)))
 	begin := time.Now()
@@ -29,7 +29,7 @@
 	}
 	printf("driver on %s; stand-in nodes (simulated, in this process):", f.Drivers[0].runningServer().Addr())
 	for _, n := range g.Nodes() {
-		printf("  %s on %s in %s", n.Name, n.Addr(), n.Hall)
+		printf("  %s on %s in %s", n.Name, n.Addr(), n.Zone)
 	}
 	var clients sync.WaitGroup
 	for i := range 20 {
@@ -51,7 +51,7 @@
 	time.Sleep(1500 * time.Millisecond)
 	seen := summarize(0)
 	old := g.Primary()
-	old.Die()
+	old.Crash()
 	d.countFault("primary died")
 	printf("%s, the primary, crashes with writes in flight; the driver is not notified", old.Name)
 	time.Sleep(700 * time.Millisecond)
--- a/lab/experiment/class.go
+++ b/lab/experiment/class.go
@@ -23,14 +23,14 @@
 
 // parseClass parses a class block. The classes of a file replace the default ones of world.Newsroom.
 func (p *fileParser) parseClass(s *setup, d lines.Directive) {
-	if len(d.Args) != 1 || !d.Open {
-		p.Problem(d.Name, "class needs a name and a block")
+	if len(d.Args) != 1 || !d.HasBlock {
+		p.AddProblem(d.Name, "class needs a name and a block")
 		return
 	}
 	c := class{Class: balance.Class{Name: d.Args[0].Text, Need: balance.NeedAny, Target: 500 * time.Millisecond, Deadline: time.Second, Value: 1}}
 	for _, other := range s.classes {
 		if other.Name == c.Name {
-			p.Problem(d.Args[0], "class %s is defined twice", c.Name)
+			p.AddProblem(d.Args[0], "class %s is defined twice", c.Name)
 		}
 	}
 	for _, line := range d.Block {
@@ -38,13 +38,13 @@
 	}
 	switch {
 	case c.share <= 0:
-		p.Problem(d.Name, "class %s needs a share, as in: share 40%%", c.Name)
+		p.AddProblem(d.Name, "class %s needs a share, as in: share 40%%", c.Name)
 	case c.Deadline < c.Target:
-		p.Problem(d.Name, "class %s has a deadline shorter than its target", c.Name)
+		p.AddProblem(d.Name, "class %s has a deadline shorter than its target", c.Name)
 	case c.Need == balance.NeedWrite && c.Effect == balance.Safe:
-		p.Problem(d.Name, "class %s writes, so its effect must be keyed or unsafe", c.Name)
+		p.AddProblem(d.Name, "class %s writes, so its effect must be keyed or unsafe", c.Name)
 	case c.Effect == balance.Keyed && c.Window == 0:
-		p.Problem(d.Name, "class %s is keyed and needs a window, as in: window 2s", c.Name)
+		p.AddProblem(d.Name, "class %s is keyed and needs a window, as in: window 2s", c.Name)
 	}
 	s.classes = append(s.classes[:len(s.classes):len(s.classes)], c)
 }
@@ -55,7 +55,7 @@
 		p.parseDuration(line.Args[1], &c.Bound)
 		return
 	}
-	w, ok := p.One(line)
+	w, ok := p.SingleArg(line)
 	if !ok {
 		return
 	}
@@ -67,12 +67,12 @@
 	case "need":
 		need, known := needs[w.Text]
 		if c.Need = need; !known || need == balance.NeedBounded {
-			p.Problem(w, "need must be write, fresh, session, any, or bounded with a time")
+			p.AddProblem(w, "need must be write, fresh, session, any, or bounded with a time")
 		}
 	case "effect":
 		effect, known := effects[w.Text]
 		if c.Effect = effect; !known {
-			p.Problem(w, "effect must be safe, keyed or unsafe")
+			p.AddProblem(w, "effect must be safe, keyed or unsafe")
 		}
 	case "target":
 		p.parseDuration(w, &c.Target)
@@ -81,9 +81,9 @@
 	case "window":
 		p.parseDuration(w, &c.Window)
 	case "worth":
-		p.Number(line, &c.Value, 0, 1e6)
+		p.FloatArg(line, &c.Value, 0, 1e6)
 	default:
-		p.Unknown(line.Name, classDirectives)
+		p.UnknownDirective(line.Name, classDirectives)
 	}
 }
 
@@ -91,7 +91,7 @@
 func (p *fileParser) parsePercent(w lines.Word) float64 {
 	v, err := strconv.ParseFloat(strings.TrimSuffix(w.Text, "%"), 64)
 	if err != nil || !strings.HasSuffix(w.Text, "%") || v < 0 || v > 100 {
-		p.Problem(w, "%q is not a share; want 0%% to 100%%, with the percent sign", w.Text)
+		p.AddProblem(w, "%q is not a share; want 0%% to 100%%, with the percent sign", w.Text)
 	}
 	return v / 100
 }
--- a/lab/experiment/compare.go
+++ b/lab/experiment/compare.go
@@ -19,8 +19,8 @@
 	Simulated, Live Outcome
 }
 
-// Beside pairs the outcomes of each arm. Both slices must hold the same arms in the same order.
-func Beside(simulated, live []Outcome) []Pair {
+// PairOutcomes pairs the outcomes of each arm. Both slices must hold the same arms in the same order.
+func PairOutcomes(simulated, live []Outcome) []Pair {
 	all := make([]Pair, len(simulated))
 	for i := range simulated {
 		all[i] = Pair{simulated[i].Arm, simulated[i], live[i]}
@@ -52,9 +52,9 @@
 	{"p99 all s", func(f *Figures) float64 { return f.All99 }, "%.3f", false},
 }, columns...)
 
-// WriteBeside writes the means of each arm in simulated and live runs as a table, and a verdict for each arm. It returns
+// WriteComparison writes the means of each arm in simulated and live runs as a table, and a verdict for each arm. It returns
 // the number of arms that differ.
-func WriteBeside(out io.Writer, name string, pairs []Pair) (differ int) {
+func WriteComparison(out io.Writer, name string, pairs []Pair) (differ int) {
 	fmt.Fprintf(out, "%s: simulated and live, means; live figures are those of stand-ins on this machine\n", name)
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprint(w, "arm\t\t")
--- a/lab/experiment/file.go
+++ b/lab/experiment/file.go
@@ -145,11 +145,11 @@
 func (p *fileParser) parseTopLevel(d lines.Directive) {
 	switch d.Name.Text {
 	case "experiment":
-		if w, ok := p.One(d); ok {
+		if w, ok := p.SingleArg(d); ok {
 			p.x.Name = w.Text
 		}
 	case "repeats":
-		p.Count(d, &p.x.Repeats, 1, 1000)
+		p.IntArg(d, &p.x.Repeats, 1, 1000)
 	default:
 		p.parseDirective(&p.base, d, p.seen)
 	}
@@ -159,22 +159,22 @@
 func (p *fileParser) parseDirective(s *setup, d lines.Directive, seen map[string]bool) {
 	name := d.Name.Text
 	if seen[name] && name != "trouble" && name != "class" {
-		p.Problem(d.Name, "%s is already set", name)
+		p.AddProblem(d.Name, "%s is already set", name)
 		return
 	}
 	seen[name] = true
 	if field := s.intFields()[name]; field != nil {
-		p.Count(d, field, 1, 1_000_000)
+		p.IntArg(d, field, 1, 1_000_000)
 		return
 	}
 	if field := s.floatFields()[name]; field != nil {
-		if p.Number(d, field, 0, 1e7); name == "tail" && *field > 0 && *field <= 1 {
-			p.Problem(d.Name, "tail: a Pareto index up to 1 has no mean; want one above 1, or 0 for lognormal work")
+		if p.FloatArg(d, field, 0, 1e7); name == "tail" && *field > 0 && *field <= 1 {
+			p.AddProblem(d.Name, "tail: a Pareto index up to 1 has no mean; want one above 1, or 0 for lognormal work")
 		}
 		return
 	}
 	if field := s.durationFields()[name]; field != nil {
-		if w, ok := p.One(d); ok {
+		if w, ok := p.SingleArg(d); ok {
 			p.parseDuration(w, field)
 		}
 		return
@@ -182,24 +182,24 @@
 	switch name {
 	case "halls":
 		if s.zones = nil; len(d.Args) == 0 {
-			p.Problem(d.Name, "halls needs one or more names")
+			p.AddProblem(d.Name, "halls needs one or more names")
 		}
 		for _, w := range d.Args {
 			if slices.Contains(s.zones, w.Text) {
-				p.Problem(w, "hall %s is listed twice", w.Text)
+				p.AddProblem(w, "hall %s is listed twice", w.Text)
 			}
 			s.zones = append(s.zones, w.Text)
 		}
 	case "gate":
-		if w, ok := p.One(d); ok {
+		if w, ok := p.SingleArg(d); ok {
 			if s.gate = w.Text; !slices.Contains([]string{"on", "off", "fixed"}, w.Text) {
-				p.Problem(w, "gate must be on, off or fixed")
+				p.AddProblem(w, "gate must be on, off or fixed")
 			}
 		}
 	case "judge":
-		if w, ok := p.One(d); ok {
+		if w, ok := p.SingleArg(d); ok {
 			if s.checkSessions = w.Text == "on"; w.Text != "on" && w.Text != "off" {
-				p.Problem(w, "judge must be on or off")
+				p.AddProblem(w, "judge must be on or off")
 			}
 		}
 	case "trouble":
@@ -212,13 +212,13 @@
 		known := []string{"experiment", "repeats", "arm", "vary", "halls", "gate", "judge", "trouble", "arrivals", "class"}
 		known = slices.AppendSeq(slices.AppendSeq(slices.AppendSeq(known, maps.Keys(s.intFields())), maps.Keys(s.floatFields())), maps.Keys(s.durationFields()))
 		slices.Sort(known)
-		p.Unknown(d.Name, known)
+		p.UnknownDirective(d.Name, known)
 	}
 }
 
 // parseArrivals loads a recording, whose requests are replayed in place of random arrivals.
 func (p *fileParser) parseArrivals(s *setup, d lines.Directive) {
-	w, ok := p.One(d)
+	w, ok := p.SingleArg(d)
 	if !ok {
 		return
 	}
@@ -231,14 +231,14 @@
 		s.replay, err = r.Arrivals("", 0)
 	}
 	if err != nil {
-		p.Problem(w, "%v", err)
+		p.AddProblem(w, "%v", err)
 	}
 }
 
 func (p *fileParser) parseDuration(w lines.Word, field *time.Duration) {
 	v, err := time.ParseDuration(w.Text)
 	if err != nil || v < 0 || v > time.Hour {
-		p.Problem(w, "%q is not a time from 0s to 1h; want one like 500ms or 30s", w.Text)
+		p.AddProblem(w, "%q is not a time from 0s to 1h; want one like 500ms or 30s", w.Text)
 		return
 	}
 	*field = v
@@ -248,35 +248,35 @@
 
 // parseTrouble parses a trouble block.
 func (p *fileParser) parseTrouble(s *setup, d lines.Directive) {
-	if len(d.Args) != 1 || !d.Open {
-		p.Problem(d.Name, "trouble needs a kind and a block; kinds: %s", strings.Join(world.TroubleNames(), ", "))
+	if len(d.Args) != 1 || !d.HasBlock {
+		p.AddProblem(d.Name, "trouble needs a kind and a block; kinds: %s", strings.Join(world.TroubleNames(), ", "))
 		return
 	}
 	kind, ok := world.TroubleNamed(d.Args[0].Text)
 	if !ok {
-		p.Problem(d.Args[0], "unknown trouble %q; kinds: %s", d.Args[0].Text, strings.Join(world.TroubleNames(), ", "))
+		p.AddProblem(d.Args[0], "unknown trouble %q; kinds: %s", d.Args[0].Text, strings.Join(world.TroubleNames(), ", "))
 		return
 	}
 	t := world.Trouble{Kind: kind, Place: world.Anywhere, For: time.Second}
 	seen := map[string]bool{}
 	for _, line := range d.Block {
-		w, ok := p.One(line)
+		w, ok := p.SingleArg(line)
 		if !ok {
 			continue
 		}
 		if seen[line.Name.Text] {
-			p.Problem(line.Name, "%s is already set", line.Name.Text)
+			p.AddProblem(line.Name, "%s is already set", line.Name.Text)
 		}
 		seen[line.Name.Text] = true
 		p.parseTroubleDirective(&t, line.Name, w)
 	}
 	switch {
 	case !seen["at"]:
-		p.Problem(d.Name, "trouble %s needs a time, as in: at 5s", kind)
+		p.AddProblem(d.Name, "trouble %s needs a time, as in: at 5s", kind)
 	case kind.Sized() && !seen["size"]:
-		p.Problem(d.Name, "trouble %s needs a size", kind)
+		p.AddProblem(d.Name, "trouble %s needs a size", kind)
 	case !kind.Sized() && seen["size"]:
-		p.Problem(d.Name, "trouble %s takes no size", kind)
+		p.AddProblem(d.Name, "trouble %s takes no size", kind)
 	}
 	p.troubleWords = append(p.troubleWords, d.Name)
 	s.troubles = append(slices.Clone(s.troubles), t)
@@ -295,31 +295,31 @@
 			v /= 100
 		}
 		if t.Size = v; err != nil || !(v > 0 && v <= 1000) || t.Kind == world.TroubleFull && v < 1 || (t.Kind == world.TroubleLost || t.Kind == world.TroubleBad || t.Kind == world.TroubleHot) && v > 1 {
-			p.Problem(w, "size: %q is not valid for this trouble; want a multiple like 4 or a share like 10%%", w.Text)
+			p.AddProblem(w, "size: %q is not valid for this trouble; want a multiple like 4 or a share like 10%%", w.Text)
 		}
 	case "slice":
-		p.Whole(w, "slice", &t.Place.Slice, 0, maxIndex)
+		p.ParseInt(w, "slice", &t.Place.Slice, 0, maxIndex)
 	case "member":
 		if t.Place.Primary = w.Text == "primary"; !t.Place.Primary {
-			p.Whole(w, "member", &t.Place.Member, 0, maxIndex)
+			p.ParseInt(w, "member", &t.Place.Member, 0, maxIndex)
 		}
 	case "driver":
-		p.Whole(w, "driver", &t.Place.Driver, 0, maxIndex)
+		p.ParseInt(w, "driver", &t.Place.Driver, 0, maxIndex)
 	case "hall":
 		t.Place.Hall = w.Text
 	case "all":
 		if t.Place.All = w.Text == "on"; w.Text != "on" && w.Text != "off" {
-			p.Problem(w, "all must be on or off")
+			p.AddProblem(w, "all must be on or off")
 		}
 	default:
-		p.Unknown(name, troubleDirectives)
+		p.UnknownDirective(name, troubleDirectives)
 	}
 }
 
 // parseArm adds an arm: the parameters of the file with the changes of the block.
 func (p *fileParser) parseArm(d lines.Directive) {
-	if len(d.Args) != 1 || !d.Open {
-		p.Problem(d.Name, "arm needs a name and a block, which may be empty")
+	if len(d.Args) != 1 || !d.HasBlock {
+		p.AddProblem(d.Name, "arm needs a name and a block, which may be empty")
 		return
 	}
 	s, seen := p.base, map[string]bool{}
@@ -342,8 +342,8 @@
 }
 
 func (p *fileParser) checkVary(d lines.Directive) bool {
-	if len(d.Args) < 2 || d.Open {
-		p.Problem(d.Name, "vary needs a directive and its values, as in: vary drivers 3 10 50")
+	if len(d.Args) < 2 || d.HasBlock {
+		p.AddProblem(d.Name, "vary needs a directive and its values, as in: vary drivers 3 10 50")
 		return false
 	}
 	return true
@@ -353,7 +353,7 @@
 func (p *fileParser) addArm(name lines.Word, s setup) {
 	for _, a := range p.x.Arms {
 		if a.Name == name.Text {
-			p.Problem(name, "arm %q is defined twice", name.Text)
+			p.AddProblem(name, "arm %q is defined twice", name.Text)
 		}
 	}
 	sum := 0.0
@@ -361,7 +361,7 @@
 		sum += c.share
 	}
 	if len(s.classes) > 0 && (sum < 0.999 || sum > 1.001) {
-		p.Problem(name, "the shares of the classes add up to %.1f%%, not 100%%", 100*sum)
+		p.AddProblem(name, "the shares of the classes add up to %.1f%%, not 100%%", 100*sum)
 	}
 	for i, t := range s.troubles {
 		w := name
@@ -370,11 +370,11 @@
 		}
 		switch {
 		case t.At >= s.length:
-			p.Problem(w, "trouble %s starts at %v, but the run ends at %v", t.Kind, t.At, s.length)
+			p.AddProblem(w, "trouble %s starts at %v, but the run ends at %v", t.Kind, t.At, s.length)
 		case t.Place.Slice >= s.slices || t.Place.Member >= s.members || t.Place.Driver >= s.drivers:
-			p.Problem(w, "trouble %s names a slice, member or driver that arm %q does not have", t.Kind, name.Text)
+			p.AddProblem(w, "trouble %s names a slice, member or driver that arm %q does not have", t.Kind, name.Text)
 		case t.Place.Hall != "" && !slices.Contains(s.zones, t.Place.Hall):
-			p.Problem(w, "trouble %s: hall %q is not listed in halls", t.Kind, t.Place.Hall)
+			p.AddProblem(w, "trouble %s: hall %q is not listed in halls", t.Kind, t.Place.Hall)
 		}
 	}
 	p.x.Arms = append(p.x.Arms, Arm{name.Text, s.config()})
--- a/lab/experiment/hunt.go
+++ b/lab/experiment/hunt.go
@@ -102,21 +102,21 @@
 	return all[0].Runs[0], nil
 }
 
-// Find is the result of a hunt.
-type Find struct {
-	Runs    int
-	Broken  *Candidate // the smallest candidate that breaks a rule, nil if none does
-	Lines   []string   // the rules that Broken breaks
-	Worst   *Candidate // the candidate with the least goodput
-	Goodput float64    // of Worst
-	Served  float64    // mean fraction of requests served
+// HuntResult is the result of a hunt.
+type HuntResult struct {
+	Runs        int
+	Broken      *Candidate // the smallest candidate that breaks a rule, nil if none does
+	BrokenRules []string   // the rules that Broken breaks
+	Worst       *Candidate // the candidate with the least goodput
+	Goodput     float64    // of Worst
+	Served      float64    // mean fraction of requests served
 }
 
 // Hunt runs random candidates until one breaks a rule, which it then shrinks, or until the number of runs is used up;
 // shrinking counts. The same seed gives the same result. Progress, if not nil, is called after each candidate without a
 // broken rule.
-func Hunt(ctx context.Context, seed uint64, runs int, modify func(*world.Config), progress func(*Find)) (*Find, error) {
-	f := &Find{Goodput: 2}
+func Hunt(ctx context.Context, seed uint64, runs int, modify func(*world.Config), progress func(*HuntResult)) (*HuntResult, error) {
+	f := &HuntResult{Goodput: 2}
 	rng := rand.New(rand.NewPCG(seed, 0x68756e74))
 	for f.Runs < runs {
 		d := RandomCandidate(rng)
@@ -130,7 +130,7 @@
 			f.Worst, f.Goodput = d, fig.Goodput
 		}
 		if len(fig.Broken) > 0 {
-			f.Broken, f.Lines = d, fig.Broken
+			f.Broken, f.BrokenRules = d, fig.Broken
 			return f, f.shrink(ctx, runs, modify)
 		}
 		if progress != nil {
@@ -141,7 +141,7 @@
 }
 
 // shrink replaces f.Broken by smaller candidates as long as one of them breaks a rule.
-func (f *Find) shrink(ctx context.Context, runs int, modify func(*world.Config)) error {
+func (f *HuntResult) shrink(ctx context.Context, runs int, modify func(*world.Config)) error {
 	for shrunk := true; shrunk; {
 		shrunk = false
 		for _, smaller := range f.Broken.smaller() {
@@ -154,7 +154,7 @@
 			}
 			f.Runs++
 			if len(fig.Broken) > 0 {
-				f.Broken, f.Lines, shrunk = smaller, fig.Broken, true
+				f.Broken, f.BrokenRules, shrunk = smaller, fig.Broken, true
 				break
 			}
 		}
--- a/lab/experiment/hunt_test.go
+++ b/lab/experiment/hunt_test.go
@@ -22,8 +22,8 @@
 		t.Fatalf("no broken rule found in %d runs", f.Runs)
 	}
 	again, err := f.Broken.Run(ctx, fault)
-	if err != nil || len(again.Broken) == 0 || again.Broken[0] != f.Lines[0] {
-		t.Errorf("run again, it breaks %v (%v); before: %v", again.Broken, err, f.Lines)
+	if err != nil || len(again.Broken) == 0 || again.Broken[0] != f.BrokenRules[0] {
+		t.Errorf("run again, it breaks %v (%v); before: %v", again.Broken, err, f.BrokenRules)
 	}
 	if f.Runs == 250 {
 		t.Fatal("the runs were used up before shrinking ended")
--- a/lab/experiment/recorder.go
+++ b/lab/experiment/recorder.go
@@ -17,9 +17,9 @@
 	}
 }
 
-// About returns the manifest of a recording of the experiment.
-func (x *Experiment) About(o Options) record.Manifest {
-	manifest := record.Manifest{Name: x.Name, Text: x.Text, Seed: o.Seed, Live: o.Player.Name != "" && o.Player.Name != Simulated.Name}
+// Manifest returns the manifest of a recording of the experiment.
+func (x *Experiment) Manifest(o Options) record.Manifest {
+	manifest := record.Manifest{Name: x.Name, Text: x.Text, Seed: o.Seed, Live: o.Runner.Name != "" && o.Runner.Name != Simulated.Name}
 	for i := range x.Arms {
 		for _, t := range x.Arms[i].World.Troubles {
 			manifest.Troubles = append(manifest.Troubles, record.TroubleSpan{Arm: x.Arms[i].Name, Kind: t.Kind.String(), From: t.At.Nanoseconds(), To: (t.At + t.For).Nanoseconds()})
--- a/lab/experiment/run.go
+++ b/lab/experiment/run.go
@@ -46,21 +46,21 @@
 	Runs []Figures
 }
 
-// Player runs a configuration, in simulated time or live.
-type Player struct {
+// Runner runs a configuration, in simulated time or live.
+type Runner struct {
 	Name      string // simulated or live
-	Play      func(world.Config) (*world.Result, error)
+	Run       func(world.Config) (*world.Result, error)
 	ExtraTime time.Duration // how long a run continues after its clients stop
 }
 
 // Simulated runs configurations in simulated time. Equal seeds give equal figures.
-var Simulated = Player{Name: "simulated", Play: world.Run, ExtraTime: 10 * time.Second}
+var Simulated = Runner{Name: "simulated", Run: world.Run, ExtraTime: 10 * time.Second}
 
 // Options control the runs of an experiment.
 type Options struct {
 	Seed     uint64
 	Procs    int                                            // runs in parallel, at least 1; figures of simulated runs do not depend on it
-	Player   Player                                         // Simulated if it has no name
+	Runner   Runner                                         // Simulated if it has no name
 	Plant    world.Plant                                    // a fault injected on purpose
 	Record   func(arm string, repeat int) func(*record.Row) // returns the sink for the rows of a run; nil: rows are not recorded
 	Progress func(arm string, repeat int)                   // called after each run; may be nil
@@ -69,8 +69,8 @@
 // Run runs every repeat of every arm. Repeat n, from 0, has the seed Options.Seed + n. It returns the first error of a run,
 // or that of ctx, once the runs in progress have ended.
 func (x *Experiment) Run(ctx context.Context, o Options) ([]Outcome, error) {
-	if o.Player.Name == "" {
-		o.Player = Simulated
+	if o.Runner.Name == "" {
+		o.Runner = Simulated
 	}
 	all := make([]Outcome, len(x.Arms))
 	g, ctx := errgroup.WithContext(ctx)
@@ -99,15 +99,15 @@
 	if o.Record != nil {
 		cfg.Record = o.Record(a.Name, repeat)
 	}
-	if o.Player.Name == "" {
-		o.Player = Simulated
+	if o.Runner.Name == "" {
+		o.Runner = Simulated
 	}
 	begin := time.Now()
-	r, err := o.Player.Play(cfg)
+	r, err := o.Runner.Run(cfg)
 	if err != nil {
 		return Figures{}, fmt.Errorf("arm %s, seed %d: %w", a.Name, cfg.Seed, err)
 	}
-	f := computeFigures(&cfg, r, o.Player.ExtraTime)
+	f := computeFigures(&cfg, r, o.Runner.ExtraTime)
 	f.Took = time.Since(begin)
 	if o.Progress != nil {
 		o.Progress(a.Name, repeat)
@@ -271,7 +271,7 @@
 
 // Write writes the means of each arm as a table, the comparison of each arm with the first, the most frequent causes of
 // requests not served and the broken rules. It returns the number of broken rules.
-func (x *Experiment) Write(out io.Writer, p Player, all []Outcome) (broken int) {
+func (x *Experiment) Write(out io.Writer, p Runner, all []Outcome) (broken int) {
 	fmt.Fprintf(out, "%s, %s: means of %d repeats, figures are %s\n", x.Name, p.Name, x.Repeats, map[bool]string{true: "the model's", false: "of stand-ins on this machine"}[p.Name == Simulated.Name])
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprint(w, "arm\t")
--- a/lab/experiment/sweep.go
+++ b/lab/experiment/sweep.go
@@ -52,7 +52,7 @@
 			}
 		}
 		if arms = next; len(arms) > maxArms {
-			p.Problem(d.Name, "the grid has %d combinations up to this line; at most %d are allowed", len(arms), maxArms)
+			p.AddProblem(d.Name, "the grid has %d combinations up to this line; at most %d are allowed", len(arms), maxArms)
 			return
 		}
 	}
@@ -187,8 +187,8 @@
 	return s.write(&entry{arm, repeat, f})
 }
 
-// Best returns the outcomes in descending order of mean goodput.
-func Best(all []Outcome) []Outcome {
+// SortByGoodput returns the outcomes in descending order of mean goodput.
+func SortByGoodput(all []Outcome) []Outcome {
 	sorted := slices.Clone(all)
 	goodput := func(o *Outcome) float64 { return mean(o.values(columns[0])) }
 	slices.SortStableFunc(sorted, func(a, b Outcome) int {
--- a/lab/experiment/sweep_test.go
+++ b/lab/experiment/sweep_test.go
@@ -75,7 +75,7 @@
 	if again, resumed, err := x.Sweep(context.Background(), dir, Options{Seed: 5}); err != nil || resumed != 12 || again[3].Runs[1].Digest != uninterrupted[3].Runs[1].Digest {
 		t.Errorf("%d resumed, %v", resumed, err)
 	}
-	if best := Best(all); !slices.IsSortedFunc(best, func(a, b Outcome) int {
+	if best := SortByGoodput(all); !slices.IsSortedFunc(best, func(a, b Outcome) int {
 		return -int(1e6 * (mean(a.values(columns[0])) - mean(b.values(columns[0]))))
 	}) {
 		t.Error("the outcomes are not in descending order of goodput")
--- a/lab/fleet.go
+++ b/lab/fleet.go
@@ -58,7 +58,7 @@
 // Driver is one driver of a fleet. It keeps its name over restarts.
 type Driver struct {
 	Name string
-	Hall string
+	Zone string
 
 	mu            sync.Mutex
 	server        *server.Server
@@ -101,7 +101,7 @@
 		spec.Log = zap.NewNop()
 	}
 	if len(spec.Site.Classes) == 0 {
-		spec.Site = UsersSite()
+		spec.Site = NewsroomSite()
 	}
 	if len(spec.Zones) == 0 {
 		spec.Zones = []string{"reykjavik-a", "hafnarfjordur-b"}
@@ -116,7 +116,7 @@
 				f.Close()
 				return nil, err
 			}
-			f.nodes = append(f.nodes, settings.Node{Name: n.Name, Address: n.Addr(), Slice: g.Name, Hall: n.Hall})
+			f.nodes = append(f.nodes, settings.Node{Name: n.Name, Address: n.Addr(), Slice: g.Name, Zone: n.Zone})
 		}
 	}
 	if spec.Dir != "" {
@@ -126,7 +126,7 @@
 		f.file.write(f.nodes)
 	}
 	for d := range spec.Drivers {
-		drv := &Driver{Name: fmt.Sprintf("driver%d", d), Hall: spec.Zones[d%len(spec.Zones)]}
+		drv := &Driver{Name: fmt.Sprintf("driver%d", d), Zone: spec.Zones[d%len(spec.Zones)]}
 		f.Drivers = append(f.Drivers, drv)
 		if err := f.Start(drv); err != nil {
 			f.Close()
@@ -139,9 +139,9 @@
 // Settings returns the settings of one driver, with the present list of nodes or, if Spec.Dir is set, the inventory
 // file. It returns an error if they are invalid.
 func (f *Fleet) Settings(d *Driver) (*settings.Settings, error) {
-	text := f.Spec.Site.Settings() + "hall " + strings.Join(f.Spec.Zones, " ") + "\nhere " + d.Hall + "\n" +
+	text := f.Spec.Site.Settings() + "hall " + strings.Join(f.Spec.Zones, " ") + "\nhere " + d.Zone + "\n" +
 		fmt.Sprintf("listen grpc 127.0.0.1:0\nrouters %d\npool user %s\ncold ramp %s\ncold from %g%%\n", f.Spec.Drivers, d.Name,
-			f.Spec.Node.Ramp, 100*f.Spec.Node.ColdFrom) + f.Spec.Extra
+			f.Spec.Node.RampTime, 100*f.Spec.Node.ColdFrom) + f.Spec.Extra
 	if f.file != nil {
 		text += f.file.settings(d.Name)
 	}
@@ -324,9 +324,9 @@
 	return nil
 }
 
-// Add lists a further node and notifies the running drivers. The node may be any process that listens at its
+// AddNode lists a further node and notifies the running drivers. The node may be any process that listens at its
 // address.
-func (f *Fleet) Add(n settings.Node) {
+func (f *Fleet) AddNode(n settings.Node) {
 	f.mu.Lock()
 	f.nodes = append(f.nodes, n)
 	f.mu.Unlock()
@@ -348,5 +348,5 @@
 
 // NodeOf returns the list entry of a stand-in.
 func NodeOf(n *standin.Node) settings.Node {
-	return settings.Node{Name: n.Name, Address: n.Addr(), Slice: n.Group().Name, Hall: n.Hall}
+	return settings.Node{Name: n.Name, Address: n.Addr(), Slice: n.Group().Name, Zone: n.Zone}
 }
--- a/lab/guarantees.go
+++ b/lab/guarantees.go
@@ -27,15 +27,15 @@
 // mixedNode draws the nodes' configuration: isolation level, parameters on facts, synchronous standbys, and delayed
 // or asynchronous commits.
 func mixedNode(rng *rand.Rand) standin.Config {
-	cfg := standin.Config{Cores: 8, Read: time.Millisecond, ReadMost: 100 * time.Millisecond, Write: 3 * time.Millisecond, Ship: 4 * time.Millisecond,
-		Apply: 300 * time.Microsecond, MaxConns: 400, ColdFrom: 0.3, Ramp: time.Second}
-	cfg.Repeatable, cfg.Params = rng.IntN(2) == 0, rng.IntN(3) == 0
+	cfg := standin.Config{Cores: 8, Read: time.Millisecond, MaxRead: 100 * time.Millisecond, Write: 3 * time.Millisecond, ShipDelay: 4 * time.Millisecond,
+		ReplayTime: 300 * time.Microsecond, MaxConns: 400, ColdFrom: 0.3, RampTime: time.Second}
+	cfg.RepeatableRead, cfg.ReportParameters = rng.IntN(2) == 0, rng.IntN(3) == 0
 	cfg.RemoteApply = max(0, rng.IntN(4)-2) // one synchronous standby for one seed in four
 	if rng.IntN(2) == 0 {
-		cfg.Settle = time.Duration(rng.IntN(15)) * time.Millisecond
+		cfg.CommitDelay = time.Duration(rng.IntN(15)) * time.Millisecond
 	}
 	if cfg.RemoteApply == 0 && rng.IntN(3) == 0 {
-		cfg.Async = time.Duration(rng.IntN(60)) * time.Millisecond
+		cfg.FlushDelay = time.Duration(rng.IntN(60)) * time.Millisecond
 	}
 	return cfg
 }
@@ -126,9 +126,9 @@
 		for part := range 3 {
 			from, duration := time.Duration(part)*2800*time.Millisecond+d.randomDuration(100*time.Millisecond, time.Second), d.randomDuration(500*time.Millisecond, 1700*time.Millisecond)
 			d.schedule(from, "replica lagged", func(context.Context) {
-				n.Lag(factor)
+				n.SlowReplay(factor)
 				d.sleep(duration)
-				n.Lag(1)
+				n.SlowReplay(1)
 			})
 		}
 	}
@@ -152,7 +152,7 @@
 	for ctx.Err() == nil {
 		if d.promotionLocks[g].TryLock() {
 			for i, n := range g.Nodes() {
-				n.Lag([]float64{400, 60, 700, 1200}[i%4])
+				n.SlowReplay([]float64{400, 60, 700, 1200}[i%4])
 			}
 			d.promotionLocks[g].Unlock()
 		}
--- a/lab/inventory.go
+++ b/lab/inventory.go
@@ -132,7 +132,7 @@
 			g.Promote(next)
 			d.countFault("promotion")
 		}
-		old.Die()
+		old.Crash()
 		d.sleep(300 * time.Millisecond)
 		d.restart(old)
 	})
@@ -143,7 +143,7 @@
 	d.schedule(after, "node joined", func(context.Context) {
 		n, err := g.AddColdNode("late-"+g.Name, "reykjavik-a", d.fleet.Spec.Node, 30)
 		if err == nil {
-			d.fleet.Add(settings.Node{Name: n.Name, Address: n.Addr(), Slice: g.Name, Hall: n.Hall, Started: time.Now()})
+			d.fleet.AddNode(settings.Node{Name: n.Name, Address: n.Addr(), Slice: g.Name, Zone: n.Zone, Started: time.Now()})
 		}
 	})
 }
@@ -151,6 +151,6 @@
 // listUnreachable lists a node at an address where nothing listens.
 func (d *day) listUnreachable(g *standin.Group, after time.Duration) {
 	d.schedule(after, "unreachable node listed", func(context.Context) {
-		d.fleet.Add(settings.Node{Name: "nowhere-" + g.Name, Address: "127.0.0.1:9", Slice: g.Name, Hall: "reykjavik-a"})
+		d.fleet.AddNode(settings.Node{Name: "nowhere-" + g.Name, Address: "127.0.0.1:9", Slice: g.Name, Zone: "reykjavik-a"})
 	})
 }
--- a/lab/judge.go
+++ b/lab/judge.go
@@ -190,13 +190,13 @@
 	for _, start := range j.fleet.Trace.Starts() {
 		all := j.byNode[start.Node]
 		from := sort.Search(len(all), func(i int) bool { return all[i].Arrived.After(start.At) })
-		for i := from; i < len(all) && all[i].Arrived.Sub(start.At) < cfg.Ramp; i++ {
+		for i := from; i < len(all) && all[i].Arrived.Sub(start.At) < cfg.RampTime; i++ {
 			r.Chances++
 			k := i
 			for k < len(all) && all[k].Arrived.Sub(all[i].Arrived) < j.fleet.Spec.Site.Fall {
 				k++
 			}
-			age := min(1, all[k-1].Arrived.Sub(start.At).Seconds()/cfg.Ramp.Seconds())
+			age := min(1, all[k-1].Arrived.Sub(start.At).Seconds()/cfg.RampTime.Seconds())
 			capacity := cfg.Capacity() * j.fleet.Spec.Site.Fall.Seconds() * (cfg.ColdFrom + (1-cfg.ColdFrom)*age)
 			if float64(k-i) > j.fleet.Spec.Site.Tip*capacity {
 				r.Break("%s got %d requests in %v, %v after its start, and could serve %.0f", start.Node, k-i, j.fleet.Spec.Site.Fall, all[i].Arrived.Sub(start.At), capacity)
--- a/lab/lab_test.go
+++ b/lab/lab_test.go
@@ -162,7 +162,7 @@
 // judged judges the given calls and statements for a fleet that served nothing.
 func judged(t *testing.T, calls []Call, statements []standin.Statement, notices []Notice, starts []standin.Start) map[string]*Rule {
 	t.Helper()
-	f := &Fleet{Spec: Spec{Site: UsersSite(), Node: SmallNode}, Trace: standin.NewTrace(), notices: notices}
+	f := &Fleet{Spec: Spec{Site: NewsroomSite(), Node: SmallNode}, Trace: standin.NewTrace(), notices: notices}
 	f.Drivers = []*Driver{{Name: "d", pastLifetimes: []lifetime{{time.Unix(0, 0), time.Unix(1000, 0)}}}}
 	g := standin.NewGroup("news", time.Second, f.Trace)
 	f.Groups = []*standin.Group{g}
@@ -178,7 +178,7 @@
 
 // TestJudgeSeesBrokenRules gives the judge traffic that breaks each rule and similar traffic that does not.
 func TestJudgeSeesBrokenRules(t *testing.T) {
-	site := UsersSite()
+	site := NewsroomSite()
 	class := func(name string) *Class {
 		for i := range site.Classes {
 			if site.Classes[i].Name == name {
@@ -257,7 +257,7 @@
 	}
 	time.Sleep(500 * time.Millisecond)
 	cold := f.Groups[0].Nodes()[2]
-	cold.Die()
+	cold.Crash()
 	time.Sleep(300 * time.Millisecond)
 	d.restart(cold)
 	time.Sleep(3 * time.Second)
--- a/lab/live.go
+++ b/lab/live.go
@@ -94,9 +94,9 @@
 	for _, g := range l.fleet.Groups {
 		l.nodes = append(l.nodes, g.Nodes())
 		for _, n := range g.Nodes() {
-			n.Through(func(driver string) (time.Duration, float64) { return l.linkTo(driver, n) })
+			n.SetLink(func(driver string) (time.Duration, float64) { return l.linkTo(driver, n) })
 			if cfg.Plant == world.PlantOld {
-				n.Old(plantedAge)
+				n.ServeStale(plantedAge)
 			}
 		}
 	}
@@ -119,20 +119,20 @@
 
 func nodeOf(cfg *world.Config) standin.Config {
 	r := &cfg.Engine.Router
-	return standin.Config{Cores: cfg.Cores, Read: cfg.Work, Write: cfg.Work, Spread: cfg.Spread, Tail: cfg.Tail, Ship: cfg.Ship, Apply: cfg.Apply, MaxConns: cfg.Cap, Greet: cfg.Greet,
-		ColdFrom: r.ColdFrom, Ramp: r.RampTime}
+	return standin.Config{Cores: cfg.Cores, Read: cfg.Work, Write: cfg.Work, LogSigma: cfg.Spread, ParetoShape: cfg.Tail, ShipDelay: cfg.Ship, ReplayTime: cfg.Apply, MaxConns: cfg.Cap, ConnectTime: cfg.Greet,
+		ColdFrom: r.ColdFrom, RampTime: r.RampTime}
 }
 
 // linkTo returns the delay and the probability of loss between a driver and a node now.
 func (l *live) linkTo(driver string, n *standin.Node) (time.Duration, float64) {
 	d := l.fleet.driverNamed(driver)
-	if d == nil || d.Hall == n.Hall {
+	if d == nil || d.Zone == n.Zone {
 		return l.cfg.Way, 0
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	delay, lost := max(l.cfg.Cross, l.cfg.Way), 0.0
-	for _, zone := range []string{d.Hall, n.Hall} {
+	for _, zone := range []string{d.Zone, n.Zone} {
 		p := l.zonePaths[zone]
 		delay += p.extra + max(0, time.Until(p.cutUntil))
 		lost += p.lost
@@ -418,24 +418,24 @@
 		}
 	}
 	for _, s := range l.fleet.Trace.Starts() {
-		l.cfg.Record(&record.Row{Kind: record.KindStart, Node: s.Node, Sent: s.At.Sub(l.begin).Nanoseconds(), Ended: record.Never})
+		l.cfg.Record(&record.Row{Kind: record.KindNodeStart, Node: s.Node, Sent: s.At.Sub(l.begin).Nanoseconds(), Ended: record.NoEnd})
 	}
 	zones := map[string]string{}
 	for _, nodes := range l.nodes {
 		for _, n := range nodes {
-			zones[n.Name] = n.Hall
+			zones[n.Name] = n.Zone
 		}
 	}
 	for i := range calls {
 		c := &calls[i]
 		row := l.requestRow(c, r)
 		row.Attempt = int32(len(byTag[c.Tag]))
-		row.Hall = zones[row.Node]
+		row.Zone = zones[row.Node]
 		l.cfg.Record(&row)
 		for k, s := range byTag[c.Tag] {
 			attempt := row
-			attempt.Kind, attempt.Attempt, attempt.Node, attempt.Hall, attempt.Driver = record.KindAttempt, int32(k+1), s.Node, zones[s.Node], s.Driver
-			attempt.Sent, attempt.Ended, attempt.Worth, attempt.Asked, attempt.Cause, attempt.Broken = s.Arrived.Sub(l.begin).Nanoseconds(), record.Never, 0, 0, "", ""
+			attempt.Kind, attempt.Attempt, attempt.Node, attempt.Zone, attempt.Driver = record.KindAttempt, int32(k+1), s.Node, zones[s.Node], s.Driver
+			attempt.Sent, attempt.Ended, attempt.Value, attempt.RequestedValue, attempt.Cause, attempt.Broken = s.Arrived.Sub(l.begin).Nanoseconds(), record.NoEnd, 0, 0, "", ""
 			if !s.Ended.IsZero() {
 				attempt.Ended = s.Ended.Sub(l.begin).Nanoseconds()
 			}
@@ -455,10 +455,10 @@
 
 // requestRow returns the row of a call.
 func (l *live) requestRow(c *Call, r *Report) record.Row {
-	row := record.Row{Kind: record.KindRequest, Request: c.Tag, Class: c.Class.Name, Slice: c.Slice, Session: c.Session, Driver: c.Driver, Try: int32(c.Try),
+	row := record.Row{Kind: record.KindRequest, Request: c.Tag, Class: c.Class.Name, Slice: c.Slice, Session: c.Session, Driver: c.Driver, ClientTry: int32(c.Try),
 		Sent: c.Sent.Sub(l.begin).Nanoseconds(), Ended: c.Answered.Sub(l.begin).Nanoseconds(), Outcome: c.Verdict.String(), Cause: causeOf(c.Text)}
 	if c.Try == 0 {
-		row.Asked = c.Class.Value
+		row.RequestedValue = c.Class.Value
 	}
 	for _, t := range l.cfg.Troubles {
 		from := l.begin.Add(t.At)
@@ -471,9 +471,9 @@
 		if c.Served.GetRole() == pb.Role_ROLE_PRIMARY {
 			row.Role = "primary"
 		}
-		row.Worth = c.Class.Value
+		row.Value = c.Class.Value
 		if c.Class.Deadline-c.Timeout+c.Answered.Sub(c.Sent) > c.Class.Target {
-			row.Worth *= c.Class.LateValue
+			row.Value *= c.Class.LateValue
 		}
 	}
 	for _, rule := range r.Rules {
--- a/lab/live_test.go
+++ b/lab/live_test.go
@@ -41,7 +41,7 @@
 				case r.Kind == record.KindAttempt:
 					attempts++
 					return
-				case r.Kind == record.KindStart:
+				case r.Kind == record.KindNodeStart:
 					return
 				case r.Outcome == "served":
 					served++
--- a/lab/livetrouble.go
+++ b/lab/livetrouble.go
@@ -78,7 +78,7 @@
 		if t.Kind == world.TroubleSlow {
 			n.Slow(size)
 		} else {
-			n.Lag(size)
+			n.SlowReplay(size)
 		}
 	case world.TroubleFull, world.TroubleGreet, world.TroubleReap:
 		if !start {
@@ -86,11 +86,11 @@
 		}
 		switch d := time.Duration(size * float64(time.Millisecond)); t.Kind {
 		case world.TroubleFull:
-			n.Cap(int(size))
+			n.LimitConns(int(size))
 		case world.TroubleGreet:
-			n.Greet(d)
+			n.DelayConnect(d)
 		default:
-			n.Reap(d)
+			n.LoseIdle(d)
 		}
 	}
 }
@@ -136,7 +136,7 @@
 		return
 	}
 	wasPrimary := g.Primary() == n
-	n.Die()
+	n.Crash()
 	began := time.Now()
 	if wasPrimary {
 		l.sleep(l.cfg.Elect)
@@ -175,7 +175,7 @@
 	l.rogue.readDrained(n, l.cfg.Notice+l.fleet.Spec.Site.Grace, duration)
 	l.sleep(duration)
 	go func() { l.announce(n, balance.LifeRemoved) }()
-	n.Die()
+	n.Crash()
 	l.sleep(duration)
 	l.restartCold(n)
 	l.announce(n, balance.LifeReady)
--- a/lab/memory/memory.go
+++ b/lab/memory/memory.go
@@ -164,7 +164,7 @@
 	}
 	m.addr = l.Addr().String()
 	l.Close()
-	site := lab.UsersSite()
+	site := lab.NewsroomSite()
 	text := site.Settings() + fmt.Sprintf("hall reykjavik-a\nhere reykjavik-a\nlisten grpc %s\nrouters 1\ninventory %s\n"+
 		"admission {\n    memory %dMiB\n}\ntokens {\n    session-memory %dMiB\n}\n", m.addr, inventory,
 		m.spec.Limit>>20, m.spec.Limit>>25)
--- a/lab/nodefile.go
+++ b/lab/nodefile.go
@@ -154,7 +154,7 @@
 
 func fieldsOf(n settings.Node, indent string) string {
 	host, port, _ := strings.Cut(n.Address, ":")
-	text := fmt.Sprintf("%shost: %q\n%sport: %s\n%shall: %q\n%sstate: %s\n", indent, host, indent, port, indent, n.Hall, indent, stateOf(n))
+	text := fmt.Sprintf("%shost: %q\n%sport: %s\n%shall: %q\n%sstate: %s\n", indent, host, indent, port, indent, n.Zone, indent, stateOf(n))
 	if !n.Started.IsZero() {
 		text += fmt.Sprintf("%sstarted: %q\n", indent, n.Started.Format(time.RFC3339Nano))
 	}
--- a/lab/overload.go
+++ b/lab/overload.go
@@ -13,8 +13,8 @@
 )
 
 // slowNode is a stand-in whose capacity a few hundred requests a second exceed ten times.
-var slowNode = standin.Config{Cores: 1, Read: 25 * time.Millisecond, Write: 12 * time.Millisecond, Ship: 5 * time.Millisecond,
-	Apply: time.Millisecond, MaxConns: 200, ColdFrom: 0.2, Ramp: 2 * time.Second}
+var slowNode = standin.Config{Cores: 1, Read: 25 * time.Millisecond, Write: 12 * time.Millisecond, ShipDelay: 5 * time.Millisecond,
+	ReplayTime: time.Millisecond, MaxConns: 200, ColdFrom: 0.2, RampTime: 2 * time.Second}
 
 // usualRate, in requests a second, is about nine tenths of what a slice of four slow nodes can serve of the users'
 // mix.
--- a/lab/record/query.go
+++ b/lab/record/query.go
@@ -40,7 +40,7 @@
 	"session": func(r *Row) string { return r.Session },
 	"driver":  func(r *Row) string { return r.Driver },
 	"node":    func(r *Row) string { return r.Node },
-	"hall":    func(r *Row) string { return r.Hall },
+	"hall":    func(r *Row) string { return r.Zone },
 	"role":    func(r *Row) string { return r.Role },
 	"outcome": func(r *Row) string { return r.Outcome },
 	"cause":   func(r *Row) string { return r.Cause },
@@ -84,9 +84,9 @@
 	Took                    *hdrhistogram.Histogram // latency of served rows, in microseconds
 }
 
-// Ask runs a query and returns a summary for each group that has rows: ordered by group, or by number of rows if the limit
+// Query runs a query and returns a summary for each group that has rows: ordered by group, or by number of rows if the limit
 // left groups out.
-func (r *Recording) Ask(q Query) ([]*Summary, error) {
+func (r *Recording) Query(q Query) ([]*Summary, error) {
 	for _, by := range q.By {
 		if !groupFields()[by] {
 			return nil, fmt.Errorf("query: cannot group rows by %q; fields are %s", by, strings.Join(Fields(), ", "))
@@ -126,7 +126,7 @@
 
 func (l *Summary) add(r *Row) {
 	l.Rows++
-	l.Value += r.Worth
+	l.Value += r.Value
 	if r.Broken != "" {
 		l.Broken++
 	}
@@ -141,8 +141,8 @@
 	}
 }
 
-// WriteLines writes summaries as a table.
-func WriteLines(out io.Writer, q Query, groups []*Summary) {
+// WriteSummaries writes summaries as a table.
+func WriteSummaries(out io.Writer, q Query, groups []*Summary) {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	for _, by := range q.By {
 		fmt.Fprintf(w, "%s\t", by)
--- a/lab/record/read.go
+++ b/lab/record/read.go
@@ -17,10 +17,10 @@
 
 // Recording is a recording opened for reading.
 type Recording struct {
-	About Manifest
-	dir   string
-	parts []string
-	Cut   bool // a part is incomplete: the run is in progress or was killed
+	Manifest   Manifest
+	dir        string
+	parts      []string
+	Incomplete bool // a part is incomplete: the run is in progress or was killed
 }
 
 // Open opens the recording in dir. Rows are read later, by Each.
@@ -30,7 +30,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("recording: directory %s holds no recording: %w", dir, err)
 	}
-	if err := json.Unmarshal(text, &r.About); err != nil {
+	if err := json.Unmarshal(text, &r.Manifest); err != nil {
 		return nil, fmt.Errorf("recording: %s: %w", filepath.Join(dir, manifestName), err)
 	}
 	entries, err := os.ReadDir(dir)
@@ -42,7 +42,7 @@
 		case strings.HasSuffix(name, ".parquet"):
 			r.parts = append(r.parts, filepath.Join(dir, name))
 		case strings.HasSuffix(name, ".parquet.tmp"):
-			r.Cut = true
+			r.Incomplete = true
 		}
 	}
 	slices.Sort(r.parts)
--- a/lab/record/record_test.go
+++ b/lab/record/record_test.go
@@ -12,7 +12,7 @@
 
 func row(i int) Row {
 	return Row{Arm: "a", Kind: KindRequest, Request: fmt.Sprintf("q%d", i), Class: []string{"read", "write"}[i%2], Node: fmt.Sprintf("db%d", i%3), Session: "s",
-		Sent: int64(i) * int64(time.Millisecond), Ended: int64(i+5) * int64(time.Millisecond), Outcome: []string{"served", "served", "refused", "failed"}[i%4], Worth: 1}
+		Sent: int64(i) * int64(time.Millisecond), Ended: int64(i+5) * int64(time.Millisecond), Outcome: []string{"served", "served", "refused", "failed"}[i%4], Value: 1}
 }
 
 // TestConcurrentWrites checks that rows added by several goroutines are read back unchanged, in the order of each goroutine.
@@ -41,7 +41,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if r.Cut || r.About.Ended.IsZero() || r.About.Seed != 7 || r.About.Runs[0].Figures["goodput"] != 0.5 || r.About.Go == "" || len(r.parts) < 2 {
+	if r.Incomplete || r.Manifest.Ended.IsZero() || r.Manifest.Seed != 7 || r.Manifest.Runs[0].Figures["goodput"] != 0.5 || r.Manifest.Go == "" || len(r.parts) < 2 {
 		t.Errorf("%+v", r)
 	}
 	next := make([]int, writers)
@@ -83,8 +83,8 @@
 		t.Fatal(err)
 	}
 	n := 0
-	if err := r.Each(func(*Row) error { n++; return nil }); err != nil || n < partRows || n >= partRows+3*batchRows || !r.Cut || !r.About.Ended.IsZero() {
-		t.Errorf("%d rows, cut %v, %v", n, r.Cut, err)
+	if err := r.Each(func(*Row) error { n++; return nil }); err != nil || n < partRows || n >= partRows+3*batchRows || !r.Incomplete || !r.Manifest.Ended.IsZero() {
+		t.Errorf("%d rows, cut %v, %v", n, r.Incomplete, err)
 	}
 }
 
@@ -141,7 +141,7 @@
 		t.Fatal(err)
 	}
 	q := Query{By: []string{"class", "window"}, Where: []Condition{c}, Window: 2 * time.Second}
-	groups, err := r.Ask(q)
+	groups, err := r.Query(q)
 	if err != nil || len(groups) != 4 {
 		t.Fatalf("%d groups, %v", len(groups), err)
 	}
@@ -149,13 +149,13 @@
 		t.Errorf("%+v", l)
 	}
 	var out strings.Builder
-	if WriteLines(&out, q, groups); !strings.Contains(out.String(), "667") {
+	if WriteSummaries(&out, q, groups); !strings.Contains(out.String(), "667") {
 		t.Error(out.String())
 	}
-	if limited, _ := r.Ask(Query{By: []string{"request"}, Limit: 3}); len(limited) != 3 {
+	if limited, _ := r.Query(Query{By: []string{"request"}, Limit: 3}); len(limited) != 3 {
 		t.Errorf("%d groups, want 3", len(limited))
 	}
-	if _, err := r.Ask(Query{By: []string{"nod"}}); err == nil || !strings.Contains(err.Error(), "node") {
+	if _, err := r.Query(Query{By: []string{"nod"}}); err == nil || !strings.Contains(err.Error(), "node") {
 		t.Error(err)
 	}
 	for _, wrong := range []string{"node", "nod=1", "=1"} {
--- a/lab/replay.go
+++ b/lab/replay.go
@@ -29,7 +29,7 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	maxStall := StallMeter(ctx)
+	maxStall := MeasureStalls(ctx)
 	p.ctx = ctx
 	var clients sync.WaitGroup
 	const sessions = 60
@@ -225,13 +225,13 @@
 			}
 		})
 	case "replica_lag":
-		action = each(func(n *standin.Node) { n.Lag(20 * t.Size) }, func(n *standin.Node) { n.Lag(1) })
+		action = each(func(n *standin.Node) { n.SlowReplay(20 * t.Size) }, func(n *standin.Node) { n.SlowReplay(1) })
 	case "idle_reap":
-		action = each(func(n *standin.Node) { n.Reap(max(100*time.Millisecond, seconds(t.Size))) }, func(n *standin.Node) { n.Reap(0) })
+		action = each(func(n *standin.Node) { n.LoseIdle(max(100*time.Millisecond, seconds(t.Size))) }, func(n *standin.Node) { n.LoseIdle(0) })
 	case "handshake_slow":
-		action = each(func(n *standin.Node) { n.Greet(100 * time.Millisecond) }, func(n *standin.Node) { n.Greet(0) })
+		action = each(func(n *standin.Node) { n.DelayConnect(100 * time.Millisecond) }, func(n *standin.Node) { n.DelayConnect(0) })
 	case "conn_squeeze":
-		action = each(func(n *standin.Node) { n.Cap(4) }, func(n *standin.Node) { n.Cap(0) })
+		action = each(func(n *standin.Node) { n.LimitConns(4) }, func(n *standin.Node) { n.LimitConns(0) })
 	case "shared_slow":
 		action = during(func() { p.slowAll(t.Size) }, func() { p.slowAll(1) })
 	case "slow_link":
@@ -277,7 +277,7 @@
 	if hang {
 		n.Hang(true)
 	} else {
-		n.Die()
+		n.Crash()
 	}
 	detection := min(duration, max(300*time.Millisecond, p.scaled.span(p.file.Fam.Detect+p.file.Fam.Elect)))
 	replaced := false
@@ -292,7 +292,7 @@
 		n.Hang(false)
 		return
 	}
-	n.Die()
+	n.Crash()
 	p.restart(n)
 }
 
@@ -311,9 +311,9 @@
 	delay := time.Duration(t.Size * float64(minTarget))
 	slowZone := p.file.Zones[min(max(t.Which, 0), len(p.file.Zones)-1)]
 	for _, n := range p.allNodes() {
-		nodeZone := n.Hall
-		n.Through(func(driver string) (time.Duration, float64) {
-			if d := p.fleet.driverNamed(driver); d != nil && d.Hall != nodeZone && (d.Hall == slowZone || nodeZone == slowZone) {
+		nodeZone := n.Zone
+		n.SetLink(func(driver string) (time.Duration, float64) {
+			if d := p.fleet.driverNamed(driver); d != nil && d.Zone != nodeZone && (d.Zone == slowZone || nodeZone == slowZone) {
 				return delay, t.Extra
 			}
 			return 0, 0
@@ -323,7 +323,7 @@
 
 func (p *replayRun) restoreLink() {
 	for _, n := range p.allNodes() {
-		n.Through(nil)
+		n.SetLink(nil)
 	}
 }
 
@@ -399,11 +399,11 @@
 		}
 	}
 	p.sleep(notice / 2)
-	n.Die()
+	n.Crash()
 	setLife(balance.LifeRemoved)
-	fresh, err := g.AddColdNode(name, n.Hall, p.fleet.Spec.Node, 20)
+	fresh, err := g.AddColdNode(name, n.Zone, p.fleet.Spec.Node, 20)
 	if err != nil {
 		return
 	}
-	p.fleet.Add(settings.Node{Name: fresh.Name, Address: fresh.Addr(), Slice: g.Name, Hall: fresh.Hall, Started: time.Now()})
+	p.fleet.AddNode(settings.Node{Name: fresh.Name, Address: fresh.Addr(), Slice: g.Name, Zone: fresh.Zone, Started: time.Now()})
 }
--- a/lab/report/plots.go
+++ b/lab/report/plots.go
@@ -111,7 +111,7 @@
 // markTroubles shades the time of each trouble, once if several arms have it.
 func markTroubles(p *plot.Plot, r *record.Recording, yMax float64) error {
 	seen := map[record.TroubleSpan]bool{}
-	for _, t := range r.About.Troubles {
+	for _, t := range r.Manifest.Troubles {
 		t.Arm = ""
 		if seen[t] {
 			continue
--- a/lab/report/report.go
+++ b/lab/report/report.go
@@ -59,7 +59,7 @@
 		case record.KindAttempt:
 			a.attemptsByNode[row.Node]++
 			a.addColdAttempt(row)
-		case record.KindStart:
+		case record.KindNodeStart:
 			a.starts++
 			a.lastStart[fmt.Sprint(row.Repeat, row.Node)] = row.Sent
 		default:
@@ -68,7 +68,7 @@
 		return nil
 	})
 	order := map[string]int{} // of arms in the experiment; rows of parallel runs come in any order
-	for i, run := range r.About.Runs {
+	for i, run := range r.Manifest.Runs {
 		if _, ok := order[run.Arm]; !ok {
 			order[run.Arm] = i
 		}
@@ -91,14 +91,14 @@
 
 func (a *armStats) addRequest(row *record.Row) {
 	a.requests++
-	addToWindow(&a.requested, row.Sent, row.Asked)
+	addToWindow(&a.requested, row.Sent, row.RequestedValue)
 	if row.Outcome != "served" {
 		if row.Cause != "" {
 			a.causes[row.Class+": "+row.Cause]++
 		}
 		return
 	}
-	addToWindow(&a.earned, row.Ended, row.Worth)
+	addToWindow(&a.earned, row.Ended, row.Value)
 	took := max(1, row.Took().Microseconds())
 	if a.latencyByClass[row.Class] == nil {
 		a.latencyByClass[row.Class] = hdrhistogram.New(1, 600_000_000, 3)
@@ -183,14 +183,14 @@
 		return nil, err
 	}
 	if len(arms) == 0 {
-		return nil, fmt.Errorf("report: the recording of %s has no requests", r.About.Name)
+		return nil, fmt.Errorf("report: the recording of %s has no requests", r.Manifest.Name)
 	}
-	v := &View{Title: r.About.Name, How: "simulated: figures come from the model", Seed: r.About.Seed, Version: r.About.Version, Go: r.About.Go, Text: r.About.Text,
-		Began: r.About.Began.Format("2006-01-02 15:04"), Cut: r.Cut || r.About.Ended.IsZero()}
-	if r.About.Live {
+	v := &View{Title: r.Manifest.Name, How: "simulated: figures come from the model", Seed: r.Manifest.Seed, Version: r.Manifest.Version, Go: r.Manifest.Go, Text: r.Manifest.Text,
+		Began: r.Manifest.Began.Format("2006-01-02 15:04"), Cut: r.Incomplete || r.Manifest.Ended.IsZero()}
+	if r.Manifest.Live {
 		v.How = "live: figures come from stand-in nodes on one machine"
 	}
-	figures := figuresByArm(r.About.Runs)
+	figures := figuresByArm(r.Manifest.Runs)
 	for _, a := range arms {
 		v.Rows += a.requests
 		v.Arms = append(v.Arms, a.tableRow(figures, arms[0].name))
@@ -199,7 +199,7 @@
 	for _, c := range tableColumns {
 		v.Columns = append(v.Columns, c.name)
 	}
-	for _, run := range r.About.Runs {
+	for _, run := range r.Manifest.Runs {
 		for _, b := range run.Broken {
 			v.Broken = append(v.Broken, fmt.Sprintf("%s, repeat %d: %s", run.Arm, run.Repeat+1, b))
 		}
--- a/lab/report/report_test.go
+++ b/lab/report/report_test.go
@@ -37,7 +37,7 @@
 	}
 	dir := filepath.Join(t.TempDir(), "r")
 	o := experiment.Options{Seed: 3, Procs: 2, Plant: plant}
-	w, err := record.Create(dir, x.About(o))
+	w, err := record.Create(dir, x.Manifest(o))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/lab/site.go
+++ b/lab/site.go
@@ -33,9 +33,9 @@
 	Margin           time.Duration // drivers answer at least so long before the client's deadline
 }
 
-// UsersSite returns the newsroom's three classes and a keyed, a fresh and a streamed one, with times that suit
+// NewsroomSite returns the newsroom's three classes and a keyed, a fresh and a streamed one, with times that suit
 // short runs.
-func UsersSite() Site {
+func NewsroomSite() Site {
 	const second = time.Second
 	return Site{Grace: 500 * time.Millisecond, Fall: second, Tip: 3, Margin: 50 * time.Millisecond, Classes: []Class{
 		{Name: "article-read", Need: balance.NeedBounded, Bound: 200 * time.Millisecond, Share: 0.40, Target: 400 * time.Millisecond, Deadline: 1500 * time.Millisecond, Value: 2},
--- a/lab/soak/client.go
+++ b/lab/soak/client.go
@@ -268,10 +268,10 @@
 func (c *client) next() (*request, []byte) {
 	c.number++
 	r := &request{id: fmt.Sprintf("%sn%d", c.name, c.number), driver: c.driver.config.Name, deadline: c.run.plan.ReadDeadline, write: c.rng.IntN(5) == 0}
-	text := catalog.ReadText(r.id, "article", r.deadline)
+	text := catalog.ReadQuery(r.id, "article", r.deadline)
 	if r.write {
 		r.deadline = c.run.plan.WriteDeadline
-		text = catalog.WriteText(r.id, r.deadline)
+		text = catalog.WriteQuery(r.id, r.deadline)
 	}
 	return r, pgwire.AppendQuery(nil, text)
 }
--- a/lab/soak/descriptors_test.go
+++ b/lab/soak/descriptors_test.go
@@ -93,7 +93,7 @@
 	}
 	defer nc.Close()
 	nc.SetDeadline(time.Now().Add(time.Second))
-	if _, err := nc.Write(pgwire.AppendQuery(catalog.AppendStartup(nil), catalog.ReadText(id, "article", 900*time.Millisecond))); err != nil {
+	if _, err := nc.Write(pgwire.AppendQuery(catalog.AppendStartup(nil), catalog.ReadQuery(id, "article", 900*time.Millisecond))); err != nil {
 		return err
 	}
 	for reader, started := pgwire.NewReader(nc, mostMessage), false; ; started = true {
--- a/lab/soak/run.go
+++ b/lab/soak/run.go
@@ -91,7 +91,7 @@
 	defer clean()
 	ctx, end := context.WithCancel(ctx)
 	defer end()
-	r := &run{plan: plan, rng: rand.New(rand.NewPCG(o.Seed, 0x72756e)), book: &book{}, stalls: lab.StallMeter(ctx)}
+	r := &run{plan: plan, rng: rand.New(rand.NewPCG(o.Seed, 0x72756e)), book: &book{}, stalls: lab.MeasureStalls(ctx)}
 	r.dialing, r.refuse = context.WithCancel(ctx)
 	defer r.refuse()
 	defer r.close()
--- a/lab/topology.go
+++ b/lab/topology.go
@@ -128,14 +128,14 @@
 	p.countFault("promotion")
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.performed = append(p.performed, promotion{g, time.Now(), old.Name, next.Name, next.Stands().Timeline, oldContinues, false})
+	p.performed = append(p.performed, promotion{g, time.Now(), old.Name, next.Name, next.Position().Timeline, oldContinues, false})
 	return true
 }
 
 // oldCrashes: the old primary has crashed before the promotion and restarts as a replica.
 func (p *promotions) oldCrashes(g *standin.Group, duration time.Duration) {
 	old := g.Primary()
-	old.Die()
+	old.Crash()
 	p.sleep(duration)
 	p.promote(g, false)
 	p.sleep(duration)
@@ -183,7 +183,7 @@
 // newPrimaryUnlisted: the list lacks the new primary for a while.
 func (p *promotions) newPrimaryUnlisted(g *standin.Group, duration time.Duration) {
 	old := g.Primary()
-	old.Die()
+	old.Crash()
 	p.sleep(duration / 2)
 	p.promote(g, false)
 	next := g.Primary()
@@ -210,23 +210,23 @@
 // clockJumps: the clock of the primary jumps forward, and back after a promotion that it does not notice.
 func (p *promotions) clockJumps(g *standin.Group, duration time.Duration) {
 	old := g.Primary()
-	old.Jump(time.Hour)
+	old.ShiftClock(time.Hour)
 	p.countFault("clock jumped")
 	p.sleep(duration / 2)
 	p.promote(g, true)
-	old.Jump(-time.Hour)
+	old.ShiftClock(-time.Hour)
 	p.sleep(duration)
 	p.rejoin(g, old)
 }
 
 // duplicateClaim: a replica claims for a while to be the primary of the present timeline.
 func (p *promotions) duplicateClaim(g *standin.Group, duration time.Duration) {
-	p.impersonate(g, duration, "two claimed one timeline", g.Usurp)
+	p.impersonate(g, duration, "two claimed one timeline", g.PromoteOnSameTimeline)
 }
 
 // otherCluster: a node of another cluster answers at a replica's address.
 func (p *promotions) otherCluster(g *standin.Group, duration time.Duration) {
-	p.impersonate(g, duration, "node of another cluster", func(n *standin.Node) { n.Strange(8, 99) })
+	p.impersonate(g, duration, "node of another cluster", func(n *standin.Node) { n.SwitchCluster(8, 99) })
 }
 
 // impersonate makes a replica claim a role for a while and records the claim.
@@ -250,8 +250,8 @@
 // replica is promoted.
 func (p *promotions) lossyLink(g *standin.Group, duration time.Duration) {
 	for _, n := range g.Nodes() {
-		n.Through(func(driver string) (time.Duration, float64) {
-			if d := p.fleet.driverNamed(driver); d != nil && d.Hall != n.Hall {
+		n.SetLink(func(driver string) (time.Duration, float64) {
+			if d := p.fleet.driverNamed(driver); d != nil && d.Zone != n.Zone {
 				return 30 * time.Millisecond, 0.3
 			}
 			return 0, 0
@@ -263,7 +263,7 @@
 	p.promote(g, true)
 	p.sleep(duration)
 	for _, n := range g.Nodes() {
-		n.Through(nil)
+		n.SetLink(nil)
 	}
 	p.rejoin(g, old)
 }
@@ -455,7 +455,7 @@
 	var outages []time.Duration
 	for i, m := range p.performed {
 		within := 2500 * time.Millisecond
-		afterFalseClaim := slices.ContainsFunc(p.falseClaims, func(s falseClaim) bool { return s.node == m.next && m.at.Sub(s.to) < p.fleet.Spec.Node.Ramp })
+		afterFalseClaim := slices.ContainsFunc(p.falseClaims, func(s falseClaim) bool { return s.node == m.next && m.at.Sub(s.to) < p.fleet.Spec.Node.RampTime })
 		if m.newUnlisted || afterFalseClaim {
 			within *= 2 // the node is newly listed or was unusable, and has slow start as after a restart
 		}
--- a/lab/world/recording.go
+++ b/lab/world/recording.go
@@ -51,21 +51,21 @@
 		return
 	}
 	row := record.Row{Kind: record.KindRequest, Request: q.name(), Attempt: int32(len(q.attempts)), Class: w.cfg.Engine.Router.Classes[q.class].Name, Slice: q.slice.name,
-		Session: q.session.name, Driver: fmt.Sprintf("driver%d", q.host.number), Try: int32(q.try), Sent: int64(q.arrived - start), Ended: int64(w.now - start),
-		Outcome: a.Status.String(), Cause: cause, Worth: worth, Trouble: w.during(q.arrived), Broken: q.broke}
+		Session: q.session.name, Driver: fmt.Sprintf("driver%d", q.host.number), ClientTry: int32(q.try), Sent: int64(q.arrived - start), Ended: int64(w.now - start),
+		Outcome: a.Status.String(), Cause: cause, Value: worth, Trouble: w.during(q.arrived), Broken: q.broke}
 	if q.try == 0 {
-		row.Asked = w.cfg.Engine.Router.Classes[q.class].Value
+		row.RequestedValue = w.cfg.Engine.Router.Classes[q.class].Value
 	}
 	row.NeedTimeline, row.NeedLSN = place(q.need)
 	if n := w.nodes[a.Node]; n != nil && a.Status == driver.Served {
-		row.Node, row.Hall, row.Role = n.name, n.hall, role(a.Facts)
+		row.Node, row.Zone, row.Role = n.name, n.hall, role(a.Facts)
 		row.Timeline, row.LSN = place(a.Facts.Position)
 	}
 	w.cfg.Record(&row)
 	for i, at := range q.attempts {
 		one := row
-		one.Kind, one.Attempt, one.Node, one.Hall, one.Outcome, one.Role = record.KindAttempt, int32(i+1), at.node.name, at.node.hall, at.outcome, role(at.facts)
-		one.Sent, one.Ended, one.Worth, one.Asked, one.Cause, one.Broken = int64(at.sent-start), record.Never, 0, 0, "", ""
+		one.Kind, one.Attempt, one.Node, one.Zone, one.Outcome, one.Role = record.KindAttempt, int32(i+1), at.node.name, at.node.hall, at.outcome, role(at.facts)
+		one.Sent, one.Ended, one.Value, one.RequestedValue, one.Cause, one.Broken = int64(at.sent-start), record.NoEnd, 0, 0, "", ""
 		if at.ended > 0 {
 			one.Ended = int64(at.ended - start)
 		}
--- a/lab/world/rules_test.go
+++ b/lab/world/rules_test.go
@@ -66,7 +66,7 @@
 		case r.Kind == record.KindAttempt:
 			attempts++
 			return
-		case r.Kind == record.KindStart:
+		case r.Kind == record.KindNodeStart:
 			starts++
 			return
 		case r.Outcome == "served":
@@ -76,7 +76,7 @@
 			}
 		}
 		requests++
-		worth += r.Worth
+		worth += r.Value
 	}
 	r, _ := Run(cfg)
 	if r.Digest != plain.Digest {
--- a/lab/world/trouble.go
+++ b/lab/world/trouble.go
@@ -280,7 +280,7 @@
 	s := n.slice
 	n.down, n.timeline, n.rose, n.came, n.tipped = false, s.timeline, s.w.now, nil, false
 	if s.w.cfg.Record != nil {
-		s.w.cfg.Record(&record.Row{Kind: record.KindStart, Node: n.name, Hall: n.hall, Slice: s.name, Sent: int64(s.w.now - start), Ended: record.Never})
+		s.w.cfg.Record(&record.Row{Kind: record.KindNodeStart, Node: n.name, Zone: n.hall, Slice: s.name, Sent: int64(s.w.now - start), Ended: record.NoEnd})
 	}
 	if s.primary != n {
 		n.applied, n.free = []commit{{lsn: s.lsn, at: s.w.now}}, s.w.now
--- a/lab/world/world.go
+++ b/lab/world/world.go
@@ -322,7 +322,7 @@
 		q.bad = rng.Float64() < w.bad
 	}
 	ask := driver.RequestParams{Class: class, Slice: sl.name, Deadline: q.deadline}
-	if at, ok := s.tok.At(sl.name); ok && c.Need != balance.NeedBounded {
+	if at, ok := s.tok.Position(sl.name); ok && c.Need != balance.NeedBounded {
 		q.need, ask.Token, q.carries = at, token.Token{}.With(sl.name, at), s.covers[sl.name]
 	}
 	w.result.Requests++
--- a/load/goal.go
+++ b/load/goal.go
@@ -65,7 +65,7 @@
 func (b *binder) goal(w lines.Word) {
 	g, err := ParseGoal(w.Text)
 	if err != nil {
-		b.Problem(w, "require: %v", err)
+		b.AddProblem(w, "require: %v", err)
 		return
 	}
 	b.plan.Goals = append(b.plan.Goals, g)
--- a/load/load_test.go
+++ b/load/load_test.go
@@ -64,7 +64,7 @@
 			return time.Millisecond
 		}}
 		p := plan(serve(t, f))
-		p.Rate, p.Callers, p.For = 200, callers, 1800*time.Millisecond
+		p.Rate, p.Callers, p.Duration = 200, callers, 1800*time.Millisecond
 		r, err := Run(t.Context(), p, nil)
 		if err != nil {
 			t.Fatal(err)
@@ -94,17 +94,17 @@
 		}
 		return 0
 	}}))
-	p.Rate, p.For, p.MaxOpen = 300, 700*time.Millisecond, 40
+	p.Rate, p.Duration, p.MaxOpen = 300, 700*time.Millisecond, 40
 	p.Classes[0].Timeout = 400 * time.Millisecond
 	p.Goals = []Goal{{Text: "g", Measure: "served", Class: All, Bound: 0.99}}
 	r, err := Run(t.Context(), p, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if c := r.Total.Counts; c[Served] != 20 || c[Unanswered] < 40 || c[NotSent] == 0 || r.Good() || r.Goals[0].Met {
+	if c := r.Total.Counts; c[Served] != 20 || c[Unanswered] < 40 || c[NotSent] == 0 || r.Passed() || r.Goals[0].Met {
 		t.Errorf("%v %+v", c, r.Goals)
 	}
-	p.Drivers, p.For = []string{"127.0.0.1:1"}, 200*time.Millisecond
+	p.Drivers, p.Duration = []string{"127.0.0.1:1"}, 200*time.Millisecond
 	if r, err = Run(t.Context(), p, nil); err != nil || r.Total.Counts[Unanswered] == 0 || r.Total.Counts[Served] > 0 {
 		t.Errorf("without a driver: %v, %v", r, err)
 	}
@@ -115,12 +115,12 @@
 	r := &Result{Classes: map[string]*Tally{}, Total: newTally(), SendDelay: newTally().Latency[0], Elapsed: time.Second}
 	r.Total.add(Served, time.Millisecond, "")
 	r.SendDelay.RecordValue(1000)
-	if !r.Good() {
+	if !r.Passed() {
 		t.Error("a run without send delay does not pass")
 	}
 	r.SendDelay.RecordValue(500_000)
 	var out strings.Builder
-	if r.Write(&out); r.Good() || !strings.Contains(out.String(), "void") {
+	if r.Write(&out); r.Passed() || !strings.Contains(out.String(), "void") {
 		t.Errorf("sent late by half a second: %s", out.String())
 	}
 }
--- a/load/plan.go
+++ b/load/plan.go
@@ -24,7 +24,7 @@
 	Shape    Shape
 	Rate     float64       // requests per second of the open loop, on average before Shape is applied
 	Callers  int           // callers of a closed loop; 0 for an open loop
-	For      time.Duration // length of the run after the warm-up
+	Duration time.Duration // length of the run after the warm-up
 	WarmUp   time.Duration // length of the warm-up, whose requests are not counted
 	Sessions int           // client sessions; each sends the token of its last answer
 	Keys     int           // number of keys that parameters are drawn from
@@ -86,7 +86,7 @@
 
 // Defaults returns a plan with default values and without drivers, slices and classes.
 func Defaults() *Plan {
-	return &Plan{Rate: 100, For: 30 * time.Second, WarmUp: 5 * time.Second, Sessions: 100, Keys: 1000, Conns: 1, MaxOpen: 20000, Seed: 1}
+	return &Plan{Rate: 100, Duration: 30 * time.Second, WarmUp: 5 * time.Second, Sessions: 100, Keys: 1000, Conns: 1, MaxOpen: 20000, Seed: 1}
 }
 
 // Read reads and parses the plan file at a path. Errors are those of reading the file and of Parse.
@@ -125,7 +125,7 @@
 func (b *binder) topLevel(d lines.Directive) {
 	p, name := b.plan, d.Name.Text
 	if b.seen[name] && name != "class" && name != "require" {
-		b.Problem(d.Name, "%s is set twice", name)
+		b.AddProblem(d.Name, "%s is set twice", name)
 		return
 	}
 	b.seen[name] = true
@@ -133,7 +133,7 @@
 	case "driver":
 		for _, w := range b.values(d) {
 			if _, _, err := net.SplitHostPort(w.Text); err != nil {
-				b.Problem(w, "driver: %q is not of the form host:port", w.Text)
+				b.AddProblem(w, "driver: %q is not of the form host:port", w.Text)
 			}
 			p.Drivers = append(p.Drivers, w.Text)
 		}
@@ -142,53 +142,53 @@
 			p.Slices = append(p.Slices, w.Text)
 		}
 	case "rate":
-		b.Number(d, &p.Rate, 0.001, 1e6)
+		b.FloatArg(d, &p.Rate, 0.001, 1e6)
 	case "callers":
-		b.Count(d, &p.Callers, 1, 1e6)
+		b.IntArg(d, &p.Callers, 1, 1e6)
 	case "shape":
 		b.shape(d)
 	case "for":
-		b.durationArg(d, &p.For, time.Millisecond)
+		b.durationArg(d, &p.Duration, time.Millisecond)
 	case "warm-up":
 		b.durationArg(d, &p.WarmUp, 0)
 	case "sessions":
-		b.Count(d, &p.Sessions, 1, 1e7)
+		b.IntArg(d, &p.Sessions, 1, 1e7)
 	case "keys":
-		b.Count(d, &p.Keys, 1, 1e9)
+		b.IntArg(d, &p.Keys, 1, 1e9)
 	case "connections":
-		b.Count(d, &p.Conns, 1, 10000)
+		b.IntArg(d, &p.Conns, 1, 10000)
 	case "most-open":
-		b.Count(d, &p.MaxOpen, 1, 1e6)
+		b.IntArg(d, &p.MaxOpen, 1, 1e6)
 	case "client":
-		if w, ok := b.One(d); ok {
+		if w, ok := b.SingleArg(d); ok {
 			p.Client = w.Text
 		}
 	case "seed":
 		seed := 0
-		if b.Count(d, &seed, 0, 1<<62); true {
+		if b.IntArg(d, &seed, 0, 1<<62); true {
 			p.Seed = uint64(seed)
 		}
 	case "class":
 		b.class(d)
 	case "require":
-		if w, ok := b.One(d); ok {
+		if w, ok := b.SingleArg(d); ok {
 			b.goal(w)
 		}
 	default:
-		b.Unknown(d.Name, planDirectives)
+		b.UnknownDirective(d.Name, planDirectives)
 	}
 }
 
 func (b *binder) values(d lines.Directive) []lines.Word {
-	if len(d.Args) == 0 || d.Open {
-		b.Problem(d.Name, "%s takes one or more values", d.Name.Text)
+	if len(d.Args) == 0 || d.HasBlock {
+		b.AddProblem(d.Name, "%s takes one or more values", d.Name.Text)
 		return nil
 	}
 	return d.Args
 }
 
 func (b *binder) durationArg(d lines.Directive, target *time.Duration, least time.Duration) {
-	if w, ok := b.One(d); ok {
+	if w, ok := b.SingleArg(d); ok {
 		b.duration(w, target, least)
 	}
 }
@@ -196,7 +196,7 @@
 func (b *binder) duration(w lines.Word, target *time.Duration, least time.Duration) {
 	v, err := time.ParseDuration(w.Text)
 	if err != nil || v < least {
-		b.Problem(w, "%q is not a duration of at least %v; write one like 500ms or 30s", w.Text, least)
+		b.AddProblem(w, "%q is not a duration of at least %v; write one like 500ms or 30s", w.Text, least)
 		return
 	}
 	*target = v
@@ -205,7 +205,7 @@
 // shape reads "steady", "ramp TIMES", "burst TIMES PERIOD PART%" or "wave TIMES PERIOD".
 func (b *binder) shape(d lines.Directive) {
 	if len(d.Args) == 0 {
-		b.Problem(d.Name, "shape takes steady, ramp, burst or wave")
+		b.AddProblem(d.Name, "shape takes steady, ramp, burst or wave")
 		return
 	}
 	forms := map[string]struct {
@@ -215,7 +215,7 @@
 	form, ok := forms[d.Args[0].Text]
 	args := d.Args[1:]
 	if !ok || len(args) != len(strings.Fields(form.args)) {
-		b.Problem(d.Args[0], "shape is one of: steady; ramp TIMES; burst TIMES PERIOD PART%%; wave TIMES PERIOD")
+		b.AddProblem(d.Args[0], "shape is one of: steady; ramp TIMES; burst TIMES PERIOD PART%%; wave TIMES PERIOD")
 		return
 	}
 	s := Shape{Kind: form.kind}
@@ -225,13 +225,13 @@
 		case 0:
 			s.Multiple, err = strconv.ParseFloat(w.Text, 64)
 			if err != nil || s.Multiple <= 0 || s.Multiple > 1000 {
-				b.Problem(w, "shape: %q is not a multiple of the rate, above 0 up to 1000", w.Text)
+				b.AddProblem(w, "shape: %q is not a multiple of the rate, above 0 up to 1000", w.Text)
 			}
 		case 1:
 			b.duration(w, &s.Period, time.Millisecond)
 		case 2:
 			if s.Fraction, err = percent(w.Text); err != nil {
-				b.Problem(w, "shape: %v", err)
+				b.AddProblem(w, "shape: %v", err)
 			}
 		}
 	}
@@ -250,22 +250,22 @@
 var classDirectives = []string{"share", "statement", "parameter", "timeout", "stream", "keyed"}
 
 func (b *binder) class(d lines.Directive) {
-	if len(d.Args) != 1 || !d.Open {
-		b.Problem(d.Name, "class takes a name and a block")
+	if len(d.Args) != 1 || !d.HasBlock {
+		b.AddProblem(d.Name, "class takes a name and a block")
 		return
 	}
 	c := Class{Name: d.Args[0].Text}
 	for _, line := range d.Block {
 		switch line.Name.Text {
 		case "share":
-			if w, ok := b.One(line); ok {
+			if w, ok := b.SingleArg(line); ok {
 				var err error
 				if c.Share, err = percent(w.Text); err != nil {
-					b.Problem(w, "share: %v", err)
+					b.AddProblem(w, "share: %v", err)
 				}
 			}
 		case "statement":
-			if w, ok := b.One(line); ok {
+			if w, ok := b.SingleArg(line); ok {
 				c.Statement = w.Text
 			}
 		case "parameter":
@@ -273,28 +273,28 @@
 		case "timeout":
 			b.durationArg(line, &c.Timeout, time.Millisecond)
 		case "stream", "keyed":
-			if len(line.Args) > 0 || line.Open {
-				b.Problem(line.Name, "%s takes no arguments", line.Name.Text)
+			if len(line.Args) > 0 || line.HasBlock {
+				b.AddProblem(line.Name, "%s takes no arguments", line.Name.Text)
 			}
 			c.Stream, c.IdempotencyKey = c.Stream || line.Name.Text == "stream", c.IdempotencyKey || line.Name.Text == "keyed"
 		default:
-			b.Unknown(line.Name, classDirectives)
+			b.UnknownDirective(line.Name, classDirectives)
 		}
 	}
 	for _, o := range b.plan.Classes {
 		if o.Name == c.Name {
-			b.Problem(d.Args[0], "class %s is defined twice", c.Name)
+			b.AddProblem(d.Args[0], "class %s is defined twice", c.Name)
 		}
 	}
 	if c.Statement == "" || c.Share == 0 {
-		b.Problem(d.Name, "class %s needs a share and a statement", c.Name)
+		b.AddProblem(d.Name, "class %s needs a share and a statement", c.Name)
 	}
 	b.plan.Classes = append(b.plan.Classes, c)
 }
 
 func (b *binder) parameter(c *Class, d lines.Directive) {
-	if len(d.Args) == 0 || len(d.Args) > 2 || d.Open {
-		b.Problem(d.Name, "parameter is one of: key; mark; text VALUE; int N")
+	if len(d.Args) == 0 || len(d.Args) > 2 || d.HasBlock {
+		b.AddProblem(d.Name, "parameter is one of: key; mark; text VALUE; int N")
 		return
 	}
 	kind, value := d.Args[0], ""
@@ -316,28 +316,28 @@
 		err = strconv.ErrSyntax
 	}
 	if err != nil {
-		b.Problem(kind, "parameter is one of: key; mark; text VALUE; int N")
+		b.AddProblem(kind, "parameter is one of: key; mark; text VALUE; int N")
 	}
 	c.Parameters = append(c.Parameters, p)
 }
 
 // checkPlan checks the plan as a whole. Drivers and slices may be added later, from the command line.
 func (b *binder) checkPlan() {
-	p, end := b.plan, lines.Word{Line: b.Lines(), Column: 1}
+	p, end := b.plan, lines.Word{Line: b.LineCount(), Column: 1}
 	sum := 0.0
 	for _, c := range p.Classes {
 		sum += c.Share
 	}
 	switch {
 	case len(p.Classes) == 0:
-		b.Problem(end, "no class is set")
+		b.AddProblem(end, "no class is set")
 	case sum < 0.999 || sum > 1.001:
-		b.Problem(end, "the classes' shares add up to %.1f%%, not to 100%%", 100*sum)
+		b.AddProblem(end, "the classes' shares add up to %.1f%%, not to 100%%", 100*sum)
 	case p.Callers > 0 && p.Shape.Kind != Steady:
-		b.Problem(end, "a shape applies only to a rate, not to callers")
+		b.AddProblem(end, "a shape applies only to a rate, not to callers")
 	}
 	if err := p.checkGoals(); err != nil {
-		b.Problem(end, "%v", err)
+		b.AddProblem(end, "%v", err)
 	}
 }
 
@@ -349,7 +349,7 @@
 		return fmt.Errorf("load: no driver is set, neither in the plan nor by --driver")
 	case len(p.Slices) == 0:
 		return fmt.Errorf("load: no slice is set, neither in the plan nor by --slice")
-	case !(p.Rate > 0) && p.Callers <= 0 || p.For <= 0 || p.WarmUp < 0:
+	case !(p.Rate > 0) && p.Callers <= 0 || p.Duration <= 0 || p.WarmUp < 0:
 		return fmt.Errorf("load: rate or callers, and the time after the warm-up, must be above zero")
 	}
 	return p.checkGoals()
--- a/load/result.go
+++ b/load/result.go
@@ -117,8 +117,8 @@
 	return r.SendDelay.ValueAtQuantile(99) > maxSendDelay.Microseconds()
 }
 
-// Good reports whether the run is not void, has at least one request and met every goal.
-func (r *Result) Good() bool {
+// Passed reports whether the run is not void, has at least one request and met every goal.
+func (r *Result) Passed() bool {
 	return !r.Void() && r.Total.sum() > 0 && !slices.ContainsFunc(r.Goals, func(v GoalResult) bool { return !v.Met })
 }
 
--- a/load/run.go
+++ b/load/run.go
@@ -104,7 +104,7 @@
 	s := &p.Shape
 	switch s.Kind {
 	case Ramp:
-		return p.Rate * (1 + (s.Multiple-1)*min(1, since.Seconds()/p.For.Seconds()))
+		return p.Rate * (1 + (s.Multiple-1)*min(1, since.Seconds()/p.Duration.Seconds()))
 	case Burst:
 		if math.Mod(since.Seconds(), s.Period.Seconds()) < s.Fraction*s.Period.Seconds() {
 			return p.Rate * s.Multiple
@@ -118,7 +118,7 @@
 // openLoop sends requests at random times, independent of answers: the intervals are exponentially distributed.
 func (r *runner) openLoop(ctx context.Context) {
 	rng := rand.New(rand.NewPCG(r.plan.Seed, 0x74696d6573))
-	end := r.countFrom.Add(r.plan.For)
+	end := r.countFrom.Add(r.plan.Duration)
 	for due := r.started; ; {
 		due = due.Add(time.Duration(rng.ExpFloat64() / r.plan.rateAt(due.Sub(r.countFrom)) * float64(time.Second)))
 		if due.After(end) || ctx.Err() != nil {
@@ -148,7 +148,7 @@
 // closedLoop runs callers that each wait for an answer before the next request. Requests that a slow answer delays are
 // neither sent nor measured.
 func (r *runner) closedLoop(ctx context.Context) {
-	end := r.countFrom.Add(r.plan.For)
+	end := r.countFrom.Add(r.plan.Duration)
 	for range r.plan.Callers {
 		r.calls.Go(func() {
 			for now := time.Now(); now.Before(end) && ctx.Err() == nil; now = time.Now() {
--- a/membership/diff.go
+++ b/membership/diff.go
@@ -56,13 +56,13 @@
 		add(n, "move", was.Slice+" "+was.Address()+" to "+n.Slice+" "+n.Address()+", as a new instance")
 	}
 	if was.State != n.State {
-		add(n, map[inventory.State]string{inventory.Ready: "ready", inventory.Draining: "drain", inventory.Gone: "gone"}[n.State], "was "+string(was.State))
+		add(n, map[inventory.State]string{inventory.Ready: "ready", inventory.Draining: "drain", inventory.Removed: "gone"}[n.State], "was "+string(was.State))
 	}
 	if !was.Started.Equal(n.Started) && !n.Started.IsZero() {
 		add(n, "restart", "counts as cold")
 	}
-	if was.Hall != n.Hall {
-		add(n, "hall", was.Hall+" to "+n.Hall)
+	if was.Zone != n.Zone {
+		add(n, "hall", was.Zone+" to "+n.Zone)
 	}
 	if !maps.Equal(was.Labels, n.Labels) {
 		add(n, "labels", "changed")
--- a/membership/membership.go
+++ b/membership/membership.go
@@ -225,7 +225,7 @@
 			missing[s] = append(missing[s], k)
 			continue
 		}
-		if k.node.State != inventory.Gone {
+		if k.node.State != inventory.Removed {
 			present[s]++
 		}
 		if k.node.State == inventory.Ready {
--- a/membership/membership_test.go
+++ b/membership/membership_test.go
@@ -106,7 +106,7 @@
 func TestDrainsApplyAtOnce(t *testing.T) {
 	m := New(Defaults(), 1)
 	m.List(0, set(sixNodes()...))
-	c := m.List(1*sec, set(node("db0", "news", inventory.Draining), node("db1", "news", inventory.Gone)))
+	c := m.List(1*sec, set(node("db0", "news", inventory.Draining), node("db1", "news", inventory.Removed)))
 	if has(c, "db0") || has(c, "db1") || !has(c, "db5") {
 		t.Errorf("%v", names(c))
 	}
@@ -240,7 +240,7 @@
 				case 1:
 					nodes = append(nodes, node(fmt.Sprintf("n%d", i), fmt.Sprintf("s%d", i/4), inventory.Draining))
 				case 2:
-					nodes = append(nodes, node(fmt.Sprintf("n%d", i), fmt.Sprintf("s%d", i/4), inventory.Gone))
+					nodes = append(nodes, node(fmt.Sprintf("n%d", i), fmt.Sprintf("s%d", i/4), inventory.Removed))
 				default:
 					nodes = append(nodes, node(fmt.Sprintf("n%d", i), fmt.Sprintf("s%d", i/4), inventory.Ready))
 				}
--- a/server/admit.go
+++ b/server/admit.go
@@ -33,7 +33,7 @@
 		return f, nil
 	}
 	cfg := s.Admission
-	cfg.MaxBytes = s.Within(cfg.MaxBytes)
+	cfg.MaxBytes = s.CapToMemory(cfg.MaxBytes)
 	cfg.MaxOpen, cfg.MaxRetryAfter, cfg.Classes = s.MaxOpen, s.MaxRetryAfter, admission.ClassesOf(s.Router().Classes)
 	var err error
 	f.gate, err = admission.New(cfg, seed)
@@ -57,7 +57,7 @@
 	if v.NoRetry {
 		pushback = "-1"
 	}
-	grpc.SetTrailer(ctx, metadata.Pairs(carry.Pushback, pushback)) // an error means that the call has ended
+	grpc.SetTrailer(ctx, metadata.Pairs(carry.PushbackKey, pushback)) // an error means that the call has ended
 	return nil, &driver.Answer{Status: driver.Refused, Cause: causes[v.Reason], RetryAfter: v.RetryAfter}
 }
 
--- a/server/control.go
+++ b/server/control.go
@@ -71,11 +71,11 @@
 type TopologyNode struct {
 	Name     string  `json:"name"`
 	Standing string  `json:"standing"`
-	Said     string  `json:"said"`
+	Role     string  `json:"said"`
 	Timeline uint32  `json:"timeline"`
 	LSN      uint64  `json:"lsn"`
 	Upstream string  `json:"follows,omitempty"`
-	By       string  `json:"by"`
+	Channel  string  `json:"by"`
 	Age      float64 `json:"age"`
 	Fenced   bool    `json:"fenced,omitempty"`
 }
@@ -84,10 +84,10 @@
 type TopologyRecord struct {
 	Number   uint64    `json:"number"`
 	At       time.Time `json:"at"`
-	What     string    `json:"what"`
+	Change   string    `json:"what"`
 	Node     string    `json:"node,omitempty"`
-	Said     string    `json:"said,omitempty"`
-	By       string    `json:"by,omitempty"`
+	Role     string    `json:"said,omitempty"`
+	Channel  string    `json:"by,omitempty"`
 	Timeline uint32    `json:"timeline,omitempty"`
 	LSN      uint64    `json:"lsn,omitempty"`
 }
@@ -144,9 +144,9 @@
 			(now - n.Claim.Received).Seconds(), n.Fenced})
 	}
 	for _, h := range v.History {
-		rec := TopologyRecord{Number: h.Number, At: time.Now().Add(h.At - now), What: h.Text, Node: h.Claim.Node, Timeline: h.Claim.Timeline, LSN: h.Claim.LSN}
+		rec := TopologyRecord{Number: h.Number, At: time.Now().Add(h.At - now), Change: h.Text, Node: h.Claim.Node, Timeline: h.Claim.Timeline, LSN: h.Claim.LSN}
 		if h.Claim.Timeline > 0 {
-			rec.Said, rec.By = h.Claim.Role.String(), h.Claim.Channel.String()
+			rec.Role, rec.Channel = h.Claim.Role.String(), h.Claim.Channel.String()
 		}
 		t.History = append(t.History, rec)
 	}
--- a/server/follow.go
+++ b/server/follow.go
@@ -37,20 +37,20 @@
 	updates       chan inventory.Update
 	resolver      *resolver
 	nodeStates    func(context.Context) ([]driver.NodeState, time.Duration) // from the engine, with the engine time
-	confirmations chan chan Status
+	confirmations chan chan InventoryStatus
 
 	mu     sync.Mutex
-	status Status
+	status InventoryStatus
 }
 
-// Status is the state of the inventory as the control socket returns it.
-type Status struct {
-	Files    []string          `json:"files"`
-	Taken    time.Time         `json:"taken"`              // when the current list was read
-	Bad      string            `json:"bad,omitempty"`      // why the files are not used, "" if they are
-	BadSince *time.Time        `json:"badSince,omitempty"` // since when the files are not used
-	Members  int               `json:"members"`
-	Held     []membership.Held `json:"held,omitempty"`
+// InventoryStatus is the state of the inventory as the control socket returns it.
+type InventoryStatus struct {
+	Files      []string          `json:"files"`
+	LoadedAt   time.Time         `json:"taken"`              // when the current list was read
+	Error      string            `json:"bad,omitempty"`      // why the files are not used, "" if they are
+	ErrorSince *time.Time        `json:"badSince,omitempty"` // since when the files are not used
+	Members    int               `json:"members"`
+	Held       []membership.Held `json:"held,omitempty"`
 	// Shared lists current nodes whose names resolve to one address.
 	Shared []membership.Shared `json:"shared,omitempty"`
 	// Unreachable lists nodes to which connections or polls fail. They stay in the list, and serving goes on without
@@ -77,8 +77,8 @@
 		return nil, s.Nodes, nil
 	}
 	f := &inventoryFollower{settings: s, log: log, module: membership.New(s.Members, seed), start: time.Now(),
-		updates: make(chan inventory.Update, 1), confirmations: make(chan chan Status),
-		watcher: &inventory.Watcher{Paths: s.Inventory, Options: inventory.Options{Halls: zonesOf(s), MinMembers: s.LeastMembers}}}
+		updates: make(chan inventory.Update, 1), confirmations: make(chan chan InventoryStatus),
+		watcher: &inventory.Watcher{Paths: s.Inventory, Options: inventory.Options{Zones: zonesOf(s), MinMembers: s.MinMembers}}}
 	f.status.Files = s.Inventory
 	u := f.watcher.Read(context.Background())
 	f.digest = u.Digest
@@ -88,13 +88,13 @@
 			return nil, nil, fmt.Errorf("no inventory to start with:\n%w", errors.Join(u.Err, err))
 		}
 		log.Warn("inventory is invalid; starting with the last valid one",
-			zap.Duration("age", time.Since(last.Taken).Round(time.Second)), zap.NamedError("why", u.Err))
+			zap.Duration("age", time.Since(last.LoadedAt).Round(time.Second)), zap.NamedError("why", u.Err))
 		f.recordInvalid(u)
-		u = inventory.Update{Set: last.Set, At: last.Taken}
+		u = inventory.Update{Set: last.Set, At: last.LoadedAt}
 	} else {
 		f.saveLastGood(u)
 	}
-	f.status.Taken = u.At
+	f.status.LoadedAt = u.At
 	f.resolver = newResolver(log)
 	f.resolver.request(u.Set)
 	c := f.module.List(f.now(), u.Set)
@@ -103,10 +103,10 @@
 }
 
 func zonesOf(s *settings.Settings) []string {
-	if len(s.Halls) == 0 {
+	if len(s.Zones) == 0 {
 		return nil
 	}
-	return s.Halls
+	return s.Zones
 }
 
 func (f *inventoryFollower) now() time.Duration { return time.Since(f.start) }
@@ -135,7 +135,7 @@
 			timer.Reset(max(0, at-f.now()))
 		}
 		var c membership.Change
-		var reply chan Status
+		var reply chan InventoryStatus
 		select {
 		case <-ctx.Done():
 			return
@@ -172,7 +172,7 @@
 	if f.settings.StateDir == "" {
 		return
 	}
-	last := inventory.LastGood{Taken: u.At, Set: u.Set}
+	last := inventory.LastGood{LoadedAt: u.At, Set: u.Set}
 	if err := last.Save(filepath.Join(f.settings.StateDir, lastGoodName)); err != nil {
 		f.log.Error(err.Error())
 	}
@@ -181,15 +181,15 @@
 func (f *inventoryFollower) recordValid(u inventory.Update) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.status.Taken, f.status.Bad, f.status.BadSince = u.At, "", nil
+	f.status.LoadedAt, f.status.Error, f.status.ErrorSince = u.At, "", nil
 }
 
 func (f *inventoryFollower) recordInvalid(u inventory.Update) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.status.Bad = u.Err.Error()
-	if f.status.BadSince == nil {
-		f.status.BadSince = &u.At
+	f.status.Error = u.Err.Error()
+	if f.status.ErrorSince == nil {
+		f.status.ErrorSince = &u.At
 	}
 }
 
@@ -214,14 +214,14 @@
 	}
 }
 
-func (f *inventoryFollower) currentStatus() Status {
+func (f *inventoryFollower) currentStatus() InventoryStatus {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.status
 }
 
 // fullStatus returns the status with the unreachable and unlisted nodes, which the engine knows.
-func (f *inventoryFollower) fullStatus(ctx context.Context) Status {
+func (f *inventoryFollower) fullStatus(ctx context.Context) InventoryStatus {
 	st := f.currentStatus()
 	nodes, now := f.nodeStates(ctx)
 	known := map[string]bool{}
@@ -249,7 +249,7 @@
 func (f *inventoryFollower) routes(ctx context.Context, mux *http.ServeMux) {
 	mux.HandleFunc("GET /inventory", func(w http.ResponseWriter, r *http.Request) { json.NewEncoder(w).Encode(f.fullStatus(r.Context())) })
 	mux.HandleFunc("POST /inventory/confirm", func(w http.ResponseWriter, r *http.Request) {
-		reply := make(chan Status, 1)
+		reply := make(chan InventoryStatus, 1)
 		select {
 		case f.confirmations <- reply:
 			json.NewEncoder(w).Encode(<-reply)
@@ -264,8 +264,8 @@
 	nodes := make([]settings.Node, len(members))
 	for i, m := range members {
 		life := map[inventory.State]balance.Life{inventory.Ready: balance.LifeReady, inventory.Draining: balance.LifeDraining,
-			inventory.Gone: balance.LifeRemoved}[m.State]
-		nodes[i] = settings.Node{Name: m.Name, Address: m.Address(), Slice: m.Slice, Hall: m.Hall, Life: life, Started: m.Started, Instance: m.Instance}
+			inventory.Removed: balance.LifeRemoved}[m.State]
+		nodes[i] = settings.Node{Name: m.Name, Address: m.Address(), Slice: m.Slice, Zone: m.Zone, Life: life, Started: m.Started, Instance: m.Instance}
 	}
 	return nodes
 }
--- a/server/follow_test.go
+++ b/server/follow_test.go
@@ -19,7 +19,7 @@
 )
 
 // control sends a request to a driver's control socket.
-func control(t *testing.T, socket, method, path string) (st server.Status) {
+func control(t *testing.T, socket, method, path string) (st server.InventoryStatus) {
 	t.Helper()
 	transport := &http.Transport{DialContext: func(ctx context.Context, _, _ string) (net.Conn, error) {
 		return (&net.Dialer{}).DialContext(ctx, "unix", socket)
@@ -68,7 +68,7 @@
 	short.WriteString("nodes:\n")
 	for _, n := range f.Groups[0].Nodes()[:2] {
 		host, port, _ := net.SplitHostPort(n.Addr())
-		fmt.Fprintf(&short, "  - {name: %s, host: %s, port: %s, slice: %s, hall: %s}\n", n.Name, host, port, f.Groups[0].Name, n.Hall)
+		fmt.Fprintf(&short, "  - {name: %s, host: %s, port: %s, slice: %s, hall: %s}\n", n.Name, host, port, f.Groups[0].Name, n.Zone)
 	}
 	write(t, path, short.String(), 0o600)
 	until(t, "two nodes are held", func() bool { return len(control(t, socket, "GET", "/inventory").Held) == 2 })
@@ -80,8 +80,8 @@
 	}
 	must(t, f, readReq("stats", "a", ""))
 	write(t, path, "nodes: [", 0o600)
-	until(t, "the file is reported as invalid", func() bool { return control(t, socket, "GET", "/inventory").Bad != "" })
-	if st := control(t, socket, "GET", "/inventory"); st.Members != 2 || st.BadSince == nil || !strings.Contains(st.Bad, path+":1") {
+	until(t, "the file is reported as invalid", func() bool { return control(t, socket, "GET", "/inventory").Error != "" })
+	if st := control(t, socket, "GET", "/inventory"); st.Members != 2 || st.ErrorSince == nil || !strings.Contains(st.Error, path+":1") {
 		t.Errorf("with an invalid file: %+v", st)
 	}
 	must(t, f, readReq("stats", "a", ""))
@@ -101,7 +101,7 @@
 		t.Errorf("start without any inventory: %v", err)
 	}
 	write(t, path, string(text), 0o600)
-	until(t, "the file is valid again", func() bool { return control(t, socket, "GET", "/inventory").Bad == "" })
+	until(t, "the file is valid again", func() bool { return control(t, socket, "GET", "/inventory").Error == "" })
 }
 
 // TestReplacedInventoryFile: no request is lost while the inventory file is replaced a thousand times under load.
@@ -153,10 +153,10 @@
 		if err != nil {
 			b.Fatal(err)
 		}
-		before := f.Trace.Opened()
+		before := f.Trace.TotalConns()
 		b.StartTimer()
-		f.Add(lab.NodeOf(n))
-		for f.Trace.Opened() == before {
+		f.AddNode(lab.NodeOf(n))
+		for f.Trace.TotalConns() == before {
 			time.Sleep(time.Millisecond)
 		}
 		b.StopTimer()
@@ -171,16 +171,16 @@
 	f := newFleet(t, lab.Spec{})
 	nodes := f.Groups[0].Nodes()
 	cfg := lab.SmallNode
-	cfg.From = "127.0.0.77"
+	cfg.StandbyHost = "127.0.0.77"
 	if _, err := f.Groups[0].AddColdNode("stray", "h", cfg, 0); err != nil {
 		t.Fatal(err)
 	}
 	text := "name,host,port,slice,hall\n"
 	for _, n := range nodes {
 		host, port, _ := net.SplitHostPort(n.Addr())
-		text += fmt.Sprintf("%s,%s,%s,slice0,%s\n", n.Name, host, port, n.Hall)
+		text += fmt.Sprintf("%s,%s,%s,slice0,%s\n", n.Name, host, port, n.Zone)
 	}
-	write(t, path, text+"far,127.0.0.1,1,slice0,"+nodes[0].Hall+"\n", 0o600)
+	write(t, path, text+"far,127.0.0.1,1,slice0,"+nodes[0].Zone+"\n", 0o600)
 	s, err := f.Settings(f.Drivers[0])
 	if err != nil {
 		t.Fatal(err)
--- a/server/lateloop_test.go
+++ b/server/lateloop_test.go
@@ -24,7 +24,7 @@
 	trace := standin.NewTrace()
 	g := standin.NewGroup("news", time.Second, trace)
 	defer g.Close()
-	n, err := g.AddNode("db0", "h", standin.Config{Cores: 4, MaxConns: 50, ColdFrom: 1, Ramp: time.Second})
+	n, err := g.AddNode("db0", "h", standin.Config{Cores: 4, MaxConns: 50, ColdFrom: 1, RampTime: time.Second})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/server/server.go
+++ b/server/server.go
@@ -112,7 +112,7 @@
 	srv.loop = &loop{frontEnd: gate, engine: engine, inbox: inbox.New[driver.Event](), log: log, metrics: srv.metrics, start: srv.startedAt,
 		login: login{user: s.User, password: password, database: s.Database, maxMessage: s.MaxMessage, history: s.TokenHistory, buffers: &pgwire.Buffers{}},
 		conns: map[driver.ConnID]*conn{}, cancelTimeout: s.DialTimeout, stopped: make(chan struct{}), engineCalls: make(chan func(*driver.Engine)), listNodes: srv.nodeList}
-	srv.loop.unstreamed, srv.loop.streamed = splitAnswerMemory(s.Within(s.AnswerBytes))
+	srv.loop.unstreamed, srv.loop.streamed = splitAnswerMemory(s.CapToMemory(s.AnswerBytes))
 	if follower != nil {
 		follower.nodeStates = srv.nodeStates
 	}
@@ -121,7 +121,7 @@
 }
 
 func engineConfig(s *settings.Settings) driver.Config {
-	return driver.Config{Router: s.Router(), Zones: s.Halls, DriverSessions: s.RouterTokens, SessionBytes: s.SessionBytes, MaxOpen: s.MaxOpen,
+	return driver.Config{Router: s.Router(), Zones: s.Zones, DriverSessions: s.RouterTokens, SessionBytes: s.SessionBytes, MaxOpen: s.MaxOpen,
 		PoolSize: s.PoolSize, IdleClose: s.IdleClose, Linger: s.Linger, PollTimeout: s.PollTimeout,
 		ClockAge: s.ClockAge, AnswerMargin: s.AnswerMargin, StartWithin: s.StartWithin, CancelWork: s.CancelWork, MissingToken: tokenless(s)}
 }
@@ -129,7 +129,7 @@
 func tokenless(s *settings.Settings) []driver.MissingTokenPolicy {
 	all := make([]driver.MissingTokenPolicy, len(s.Classes))
 	for i, c := range s.Classes {
-		all[i] = driver.MissingTokenPolicy(c.Tokenless)
+		all[i] = driver.MissingTokenPolicy(c.MissingToken)
 	}
 	return all
 }
@@ -201,7 +201,7 @@
 	defer s.mu.Unlock()
 	nodes := make([]driver.Node, len(s.nodes))
 	for i, n := range s.nodes {
-		nodes[i] = driver.Node{Name: n.Name, Address: n.Address, Slice: n.Slice, Zone: n.Hall, Life: n.Life, Instance: n.Instance}
+		nodes[i] = driver.Node{Name: n.Name, Address: n.Address, Slice: n.Slice, Zone: n.Zone, Life: n.Life, Instance: n.Instance}
 		if !n.Started.IsZero() {
 			nodes[i].Started = max(1, clockStart+n.Started.Sub(s.startedAt))
 		}
@@ -269,9 +269,9 @@
 
 // drain waits for the answers to pending requests, then closes the connections of clients.
 func (s *Server) drain() {
-	s.log.Info("driver is stopping", zap.Duration("within", s.settings.StopWithin))
+	s.log.Info("driver is stopping", zap.Duration("within", s.settings.StopTimeout))
 	s.health.Shutdown()
-	s.loop.inbox.Put(driver.Event{Kind: driver.EventStop, Until: s.loop.now() + s.settings.StopWithin})
+	s.loop.inbox.Put(driver.Event{Kind: driver.EventStop, Until: s.loop.now() + s.settings.StopTimeout})
 	select {
 	case <-s.loop.stopped:
 	case <-s.killed.Done():
@@ -286,7 +286,7 @@
 	case <-s.killed.Done():
 		s.grpc.Stop()
 		<-graceful
-	case <-time.After(s.settings.StopWithin):
+	case <-time.After(s.settings.StopTimeout):
 		s.grpc.Stop()
 		<-graceful
 	}
--- a/server/server_test.go
+++ b/server/server_test.go
@@ -49,7 +49,7 @@
 		if err := f.Close(); err != nil {
 			t.Error(err)
 		}
-		if n := f.Trace.Open(); n != 0 {
+		if n := f.Trace.OpenConns(); n != 0 {
 			t.Errorf("%d connections left at the stand-ins", n)
 		}
 		goleak.VerifyNone(t, before)
@@ -94,7 +94,7 @@
 func TestReadSeesOwnWrite(t *testing.T) {
 	f := newFleet(t, lab.Spec{})
 	for _, n := range f.Groups[0].Nodes()[1:] {
-		n.Lag(1e6) // from here on the replicas replay nothing
+		n.SlowReplay(1e6) // from here on the replicas replay nothing
 	}
 	res := must(t, f, writeReq("a", "saved"))
 	if res.CommandTag != "INSERT 0 1" || res.Served.Role != pb.Role_ROLE_PRIMARY || res.Token == "" {
@@ -350,7 +350,7 @@
 			core, logs := observer.New(zapcore.WarnLevel)
 			f := newFleet(t, lab.Spec{Log: zap.New(core)})
 			addr := newPeer(t, c.talk)
-			f.Add(settings.Node{Name: "strange", Address: addr, Slice: "slice0", Hall: "reykjavik-a"})
+			f.AddNode(settings.Node{Name: "strange", Address: addr, Slice: "slice0", Zone: "reykjavik-a"})
 			for range 30 {
 				must(t, f, readReq("stats", "a", ""))
 				time.Sleep(10 * time.Millisecond)
@@ -376,7 +376,7 @@
 // TestFactsByParameters: nodes that report role and position as parameters are not queried for them.
 func TestFactsByParameters(t *testing.T) {
 	cfg := lab.SmallNode
-	cfg.Params = true
+	cfg.ReportParameters = true
 	f := newFleet(t, lab.Spec{Node: cfg})
 	res := must(t, f, writeReq("a", "one"))
 	if got := must(t, f, readReq("own-read", "a", res.Token)); len(got.Rows) != 1 {
@@ -414,7 +414,7 @@
 // nothing between the two.
 func TestRepeatableRead(t *testing.T) {
 	node := lab.SmallNode
-	node.Repeatable, node.Cores, node.Read = true, 4, 60*time.Millisecond
+	node.RepeatableRead, node.Cores, node.Read = true, 4, 60*time.Millisecond
 	f := newFleet(t, lab.Spec{Node: node})
 	must(t, f, writeReq("a", "one"))
 	for range 6 {
@@ -432,7 +432,7 @@
 func readAcrossAWrite(t *testing.T, f *lab.Fleet) (read, write *pb.ExecuteResponse) {
 	t.Helper()
 	for _, n := range f.Groups[0].Nodes()[1:] {
-		for n.Stands() != f.Groups[0].Nodes()[0].Stands() {
+		for n.Position() != f.Groups[0].Nodes()[0].Position() {
 			time.Sleep(time.Millisecond)
 		}
 		n.Stall(250 * time.Millisecond)
--- a/server/service.go
+++ b/server/service.go
@@ -34,7 +34,7 @@
 
 // scope returns the session that tokens are bound to, or "" if the settings don't bind them.
 func (s *service) scope(req *pb.ExecuteRequest) string {
-	if s.settings.TokenScope {
+	if s.settings.BindTokenToSession {
 		return req.Session
 	}
 	return ""
--- a/server/topology_test.go
+++ b/server/topology_test.go
@@ -52,8 +52,8 @@
 		return len(tp.Slices) == 1 && tp.Slices[0].Primary == g.Primary().Name && len(tp.Slices[0].Nodes) == 3
 	})
 	usurper := g.Nodes()[1]
-	g.Usurp(usurper)
-	g.Usurp(g.Nodes()[2]) // no node follows any of them
+	g.PromoteOnSameTimeline(usurper)
+	g.PromoteOnSameTimeline(g.Nodes()[2]) // no node follows any of them
 	var first server.TopologySlice
 	until(t, "two claim the timeline", func() bool {
 		tp, _ := topologyOf(t, socket, "GET", "/topology")
--- a/server/visible_test.go
+++ b/server/visible_test.go
@@ -14,7 +14,7 @@
 	for name, byParams := range map[string]bool{"asked": false, "by parameters": true} {
 		t.Run(name, func(t *testing.T) {
 			node := lab.SmallNode
-			node.Params = byParams
+			node.ReportParameters = byParams
 			run(t, node)
 		})
 	}
@@ -96,7 +96,7 @@
 		must(t, f, writeReq("a", "one"))
 		seen := readAtReplica(t, f, "a", "one")
 		for _, n := range f.Groups[0].Nodes()[1:] {
-			n.Lag(1e6) // from here on the replicas replay nothing
+			n.SlowReplay(1e6) // from here on the replicas replay nothing
 		}
 		write := writeReq("a", "two")
 		write.Token = seen.Token
--- a/settings/bind.go
+++ b/settings/bind.go
@@ -75,25 +75,25 @@
 			return
 		}
 	}
-	b.Unknown(d.Name, topNames())
+	b.UnknownDirective(d.Name, topNames())
 }
 
 // block binds both forms: a block of directives, or one of its directives on the same line, as in "drain grace 500ms".
 func (b *binder) block(bl block, d directive) {
 	all := d.Block
-	if !d.Open {
+	if !d.HasBlock {
 		if len(d.Args) == 0 {
-			b.Problem(d.Name, "%s needs a block or one of its directives on the same line", d.Name.Text)
+			b.AddProblem(d.Name, "%s needs a block or one of its directives on the same line", d.Name.Text)
 			return
 		}
 		all = []directive{{Name: d.Args[0], Args: d.Args[1:]}}
 	} else if len(d.Args) > 0 {
-		b.Problem(d.Args[0], "%s takes no argument before its block", d.Name.Text)
+		b.AddProblem(d.Args[0], "%s takes no argument before its block", d.Name.Text)
 	}
 	for _, line := range all {
 		i := slices.IndexFunc(bl.fields, func(f field) bool { return f.name == line.Name.Text })
 		if i < 0 {
-			b.Unknown(line.Name, fieldNames(bl.fields))
+			b.UnknownDirective(line.Name, fieldNames(bl.fields))
 			continue
 		}
 		b.field(b.s, bl.name+" ", bl.fields[i], line)
@@ -111,34 +111,34 @@
 func (b *binder) field(s *Settings, prefix string, f field, d directive) {
 	full := prefix + f.name
 	if first, repeated := b.seen[full]; repeated {
-		b.Problem(d.Name, "%s is already set on line %d", full, first.Line)
+		b.AddProblem(d.Name, "%s is already set on line %d", full, first.Line)
 		return
 	}
 	b.seen[full] = d.Name
-	if arg, ok := b.One(d); ok {
+	if arg, ok := b.SingleArg(d); ok {
 		if err := f.set(s, arg.Text); err != nil {
-			b.Problem(arg, "%s: %v", full, err)
+			b.AddProblem(arg, "%s: %v", full, err)
 		}
 	}
 }
 
 func (b *binder) zone(d directive) {
-	if len(d.Args) == 0 || d.Open {
-		b.Problem(d.Name, "hall needs one or more names")
+	if len(d.Args) == 0 || d.HasBlock {
+		b.AddProblem(d.Name, "hall needs one or more names")
 		return
 	}
 	for _, w := range d.Args {
-		if slices.Contains(b.s.Halls, w.Text) {
-			b.Problem(w, "duplicate hall %q", w.Text)
+		if slices.Contains(b.s.Zones, w.Text) {
+			b.AddProblem(w, "duplicate hall %q", w.Text)
 			continue
 		}
-		b.s.Halls, b.zones = append(b.s.Halls, w.Text), append(b.zones, w)
+		b.s.Zones, b.zones = append(b.s.Zones, w.Text), append(b.zones, w)
 	}
 }
 
 func (b *binder) inventory(d directive) {
-	if len(d.Args) == 0 || d.Open {
-		b.Problem(d.Name, "inventory needs one or more files or directories")
+	if len(d.Args) == 0 || d.HasBlock {
+		b.AddProblem(d.Name, "inventory needs one or more files or directories")
 		return
 	}
 	b.inventoryAt = d.Name
@@ -150,19 +150,19 @@
 var classFields = []string{"effect", "scope", "need", "target", "deadline", "window", "worth", "late-worth", "without-token"}
 
 func (b *binder) class(d directive) {
-	if len(d.Args) != 1 || !d.Open {
-		b.Problem(d.Name, "class needs a name and a block, as in: class article-read {")
+	if len(d.Args) != 1 || !d.HasBlock {
+		b.AddProblem(d.Name, "class needs a name and a block, as in: class article-read {")
 		return
 	}
 	name := d.Args[0]
 	if i := slices.IndexFunc(b.classes, func(w word) bool { return w.Text == name.Text }); i >= 0 {
-		b.Problem(name, "class %q is already defined on line %d", name.Text, b.classes[i].Line)
+		b.AddProblem(name, "class %q is already defined on line %d", name.Text, b.classes[i].Line)
 	}
 	c := Class{Name: name.Text, Value: 1}
 	seen := map[string]bool{}
 	for _, line := range d.Block {
 		if seen[line.Name.Text] {
-			b.Problem(line.Name, "%s of class %q is set twice", line.Name.Text, c.Name)
+			b.AddProblem(line.Name, "%s of class %q is set twice", line.Name.Text, c.Name)
 			continue
 		}
 		seen[line.Name.Text] = true
@@ -170,7 +170,7 @@
 	}
 	for _, required := range []string{"effect", "need", "target", "deadline"} {
 		if !seen[required] {
-			b.Problem(name, "class %q has no %s", c.Name, required)
+			b.AddProblem(name, "class %q has no %s", c.Name, required)
 		}
 	}
 	b.checkClass(name, c, seen)
@@ -179,19 +179,19 @@
 
 func (b *binder) checkClass(name word, c Class, seen map[string]bool) {
 	if seen["target"] && seen["deadline"] && c.Deadline < c.Target {
-		b.Problem(name, "class %q: deadline %v is shorter than its target %v", c.Name, c.Deadline, c.Target)
+		b.AddProblem(name, "class %q: deadline %v is shorter than its target %v", c.Name, c.Deadline, c.Target)
 	}
 	if c.Effect == balance.Keyed && !seen["window"] {
-		b.Problem(name, "class %q is keyed and has no window, the time for which nodes discard repeats", c.Name)
+		b.AddProblem(name, "class %q is keyed and has no window, the time for which nodes discard repeats", c.Name)
 	}
 	if c.Effect != balance.Keyed && (seen["window"] || seen["scope"]) {
-		b.Problem(name, "class %q: window and scope are only for classes with 'effect keyed'", c.Name)
+		b.AddProblem(name, "class %q: window and scope are only for classes with 'effect keyed'", c.Name)
 	}
 	if c.Need != balance.NeedSession && seen["without-token"] {
-		b.Problem(name, "class %q: without-token is only for classes with 'need session'", c.Name)
+		b.AddProblem(name, "class %q: without-token is only for classes with 'need session'", c.Name)
 	}
 	if c.Effect == balance.Safe && c.Need == balance.NeedWrite && seen["need"] {
-		b.Problem(name, "class %q: 'need write' goes with 'effect keyed' or 'effect unsafe', not with 'effect safe'", c.Name)
+		b.AddProblem(name, "class %q: 'need write' goes with 'effect keyed' or 'effect unsafe', not with 'effect safe'", c.Name)
 	}
 }
 
@@ -201,10 +201,10 @@
 		return
 	}
 	if !slices.Contains(classFields, d.Name.Text) {
-		b.Unknown(d.Name, classFields)
+		b.UnknownDirective(d.Name, classFields)
 		return
 	}
-	arg, ok := b.One(d)
+	arg, ok := b.SingleArg(d)
 	if !ok {
 		return
 	}
@@ -225,10 +225,10 @@
 	case "late-worth":
 		c.LateValue, err = parsePercentage(arg.Text)
 	case "without-token":
-		err = setChoice(&c.Tokenless, arg.Text, "accept", "primary", "refuse")
+		err = setChoice(&c.MissingToken, arg.Text, "accept", "primary", "refuse")
 	}
 	if err != nil {
-		b.Problem(arg, "%s: %v", d.Name.Text, err)
+		b.AddProblem(arg, "%s: %v", d.Name.Text, err)
 	}
 }
 
@@ -261,25 +261,25 @@
 var needNames = []string{"write", "fresh", "session", "bounded", "any"}
 
 func (b *binder) need(c *Class, d directive) {
-	if len(d.Args) == 0 || d.Open {
-		b.Problem(d.Name, "need requires one of %s", strings.Join(needNames, ", "))
+	if len(d.Args) == 0 || d.HasBlock {
+		b.AddProblem(d.Name, "need requires one of %s", strings.Join(needNames, ", "))
 		return
 	}
 	if err := setChoice(&c.Need, d.Args[0].Text, needNames...); err != nil {
-		b.Problem(d.Args[0], "need: %v", err)
+		b.AddProblem(d.Args[0], "need: %v", err)
 		return
 	}
 	switch {
 	case c.Need == balance.NeedBounded && len(d.Args) != 2:
-		b.Problem(d.Args[0], "need bounded requires a maximum age, as in: need bounded 200ms")
+		b.AddProblem(d.Args[0], "need bounded requires a maximum age, as in: need bounded 200ms")
 	case c.Need == balance.NeedBounded:
 		bound, err := parsePositive(d.Args[1].Text)
 		if err != nil {
-			b.Problem(d.Args[1], "need bounded: %v", err)
+			b.AddProblem(d.Args[1], "need bounded: %v", err)
 		}
 		c.Bound = bound
 	case len(d.Args) > 1:
-		b.Problem(d.Args[1], "need %s takes no further argument", d.Args[0].Text)
+		b.AddProblem(d.Args[1], "need %s takes no further argument", d.Args[0].Text)
 	}
 }
 
@@ -287,37 +287,37 @@
 
 // node binds: node NAME HOST:PORT slice=S [hall=H] [state=ready|draining|gone] [started=TIME].
 func (b *binder) node(d directive) {
-	if len(d.Args) < 2 || d.Open {
-		b.Problem(d.Name, "node needs a name, HOST:PORT, slice=NAME and, if there are halls, hall=NAME")
+	if len(d.Args) < 2 || d.HasBlock {
+		b.AddProblem(d.Name, "node needs a name, HOST:PORT, slice=NAME and, if there are halls, hall=NAME")
 		return
 	}
 	n := Node{Name: d.Args[0].Text, Address: d.Args[1].Text, Line: d.Name.Line}
 	if err := checkAddress(n.Address); err != nil {
-		b.Problem(d.Args[1], "%v", err)
+		b.AddProblem(d.Args[1], "%v", err)
 	}
 	seen := map[string]bool{}
 	for _, w := range d.Args[2:] {
 		key, value, ok := strings.Cut(w.Text, "=")
 		switch {
 		case !ok:
-			b.Problem(w, "%q is not an option; write KEY=VALUE", w.Text)
+			b.AddProblem(w, "%q is not an option; write KEY=VALUE", w.Text)
 		case seen[key]:
-			b.Problem(w, "%s is set twice", key)
+			b.AddProblem(w, "%s is set twice", key)
 		case !slices.Contains(nodeOptions, key):
-			b.Unknown(word{Text: key, Line: w.Line, Column: w.Column}, nodeOptions)
+			b.UnknownDirective(word{Text: key, Line: w.Line, Column: w.Column}, nodeOptions)
 		default:
 			b.nodeOption(&n, w, key, value)
 		}
 		seen[key] = true
 	}
 	if !seen["slice"] {
-		b.Problem(d.Args[0], "node %q has no slice=NAME", n.Name)
+		b.AddProblem(d.Args[0], "node %q has no slice=NAME", n.Name)
 	}
 	for i, other := range b.s.Nodes {
 		if other.Name == n.Name {
-			b.Problem(d.Args[0], "node %q is already defined on line %d", n.Name, b.nodes[i].Line)
+			b.AddProblem(d.Args[0], "node %q is already defined on line %d", n.Name, b.nodes[i].Line)
 		} else if other.Address == n.Address {
-			b.Problem(d.Args[1], "address %s is already used by node %q on line %d", n.Address, other.Name, b.nodes[i].Line)
+			b.AddProblem(d.Args[1], "address %s is already used by node %q on line %d", n.Address, other.Name, b.nodes[i].Line)
 		}
 	}
 	b.s.Nodes, b.nodes = append(b.s.Nodes, n), append(b.nodes, d.Args[0])
@@ -332,7 +332,7 @@
 			err = fmt.Errorf("slice must be a name of 1 to 64 bytes")
 		}
 	case "hall":
-		n.Hall = value
+		n.Zone = value
 	case "state":
 		err = setChoice(&n.Life, value, "ready", "draining", "gone")
 	case "started":
@@ -342,7 +342,7 @@
 		}
 	}
 	if err != nil {
-		b.Problem(w, "%v", err)
+		b.AddProblem(w, "%v", err)
 	}
 }
 
@@ -350,32 +350,32 @@
 func (b *binder) check() {
 	s := b.s
 	if len(s.Classes) == 0 {
-		b.Problem(word{Line: b.Lines(), Column: 1}, "no class is defined; without one no request can be served")
+		b.AddProblem(word{Line: b.LineCount(), Column: 1}, "no class is defined; without one no request can be served")
 	}
 	if len(s.Classes) > 256 {
-		b.Problem(b.classes[256], "more than 256 classes")
+		b.AddProblem(b.classes[256], "more than 256 classes")
 	}
-	if len(s.Halls) > 0 && s.Zone == "" {
-		b.Problem(b.zones[0], "halls are listed, but not the one that this driver runs in; add 'here %s' or another", s.Halls[0])
+	if len(s.Zones) > 0 && s.Zone == "" {
+		b.AddProblem(b.zones[0], "halls are listed, but not the one that this driver runs in; add 'here %s' or another", s.Zones[0])
 	}
-	if s.Zone != "" && !slices.Contains(s.Halls, s.Zone) {
-		b.Problem(b.seen["here"], "hall %q is not listed by a hall directive%s", s.Zone, suggestion(s.Zone, s.Halls))
+	if s.Zone != "" && !slices.Contains(s.Zones, s.Zone) {
+		b.AddProblem(b.seen["here"], "hall %q is not listed by a hall directive%s", s.Zone, suggestion(s.Zone, s.Zones))
 	}
 	for i, n := range s.Nodes {
-		if n.Hall != "" && !slices.Contains(s.Halls, n.Hall) {
-			b.Problem(b.nodes[i], "node %q: hall %q is not listed by a hall directive%s", n.Name, n.Hall, suggestion(n.Hall, s.Halls))
+		if n.Zone != "" && !slices.Contains(s.Zones, n.Zone) {
+			b.AddProblem(b.nodes[i], "node %q: hall %q is not listed by a hall directive%s", n.Name, n.Zone, suggestion(n.Zone, s.Zones))
 		}
 	}
 	s.Members.Drivers = s.Routers
 	if len(s.Inventory) > 0 && len(s.Nodes) > 0 {
-		b.Problem(b.nodes[0], "nodes come from the inventory on line %d; remove either it or the node directives", b.inventoryAt.Line)
+		b.AddProblem(b.nodes[0], "nodes come from the inventory on line %d; remove either it or the node directives", b.inventoryAt.Line)
 	}
 	if s.LagPolicy == balance.LagWait && s.CatchUpWait == 0 {
-		b.Problem(b.seen["replicas behind"], "'behind wait' also needs catch-up, the longest wait")
+		b.AddProblem(b.seen["replicas behind"], "'behind wait' also needs catch-up, the longest wait")
 	}
 	for i, c := range s.Classes {
 		if c.Deadline > 0 && c.Deadline <= 2*s.AnswerMargin {
-			b.Problem(b.classes[i], "class %q: deadline %v must be longer than twice the answer margin %v", c.Name, c.Deadline, s.AnswerMargin)
+			b.AddProblem(b.classes[i], "class %q: deadline %v must be longer than twice the answer margin %v", c.Name, c.Deadline, s.AnswerMargin)
 		}
 	}
 }
--- a/settings/fields.go
+++ b/settings/fields.go
@@ -40,7 +40,7 @@
 	{"membership", []field{
 		percentage("most-lost", "largest share of a slice that a list may omit at once and still be applied", func(s *Settings) *float64 { return &s.Members.MaxMissing }),
 		duration("confirm-after", "time after which an unchanged list is applied in any case; 0s: never", 0, 24*time.Hour, func(s *Settings) *time.Duration { return &s.Members.ConfirmAfter }),
-		integer("least", "minimum number of nodes in each slice", 1, 1000, func(s *Settings) *int { return &s.LeastMembers }),
+		integer("least", "minimum number of nodes in each slice", 1, 1000, func(s *Settings) *int { return &s.MinMembers }),
 		integer("together", "number of drivers that may start to use a new node within a step", 1, 10000, func(s *Settings) *int { return &s.Members.DriversPerStep }),
 		duration("step", "length of a step, for 'together' and 'own-pace'", time.Millisecond, time.Hour, func(s *Settings) *time.Duration { return &s.Members.Step }),
 		integer("own-pace", "number of new nodes that this driver starts to use within a step", 1, 100000, func(s *Settings) *int { return &s.Members.NodesPerStep }),
@@ -60,7 +60,7 @@
 		percentage("from", "share of its capacity that a cold node starts with", func(s *Settings) *float64 { return &s.ColdFrom }),
 		duration("ramp", "time until a started node is warm; 0s: nodes start warm", 0, time.Hour, func(s *Settings) *time.Duration { return &s.RampTime }),
 		factor("tip", "a cold node is overloaded above this multiple of its present capacity", func(s *Settings) *float64 { return &s.ColdOverloadMultiple }),
-		duration("fall", "time of such an overload after which a cold node fails", 0, time.Hour, func(s *Settings) *time.Duration { return &s.ColdOverloadTime }),
+		duration("fall", "time of such an overload after which a cold node fails", 0, time.Hour, func(s *Settings) *time.Duration { return &s.ColdOverloadWindow }),
 	}},
 	{"attempts", []field{
 		integer("limit", "maximum attempts per request", 1, 255, func(s *Settings) *int { return &s.AttemptLimit }),
@@ -118,12 +118,12 @@
 	}},
 	{"tokens", []field{
 		text("keys", "file with the keys that sign tokens, mode 0600; tokens are unsigned if not set", func(s *Settings) *string { return &s.TokenKeys }),
-		flag("bind-session", "a token is valid only in the session that it was issued to", func(s *Settings) *bool { return &s.TokenScope }),
+		flag("bind-session", "a token is valid only in the session that it was issued to", func(s *Settings) *bool { return &s.BindTokenToSession }),
 		size("session-memory", "memory for the sessions that this driver tracks itself", 1<<10, 1<<30, func(s *Settings) *int { return &s.SessionBytes }),
 		flag("history", "nodes are queried for the start of timelines, to detect tokens of lost writes", func(s *Settings) *bool { return &s.TokenHistory }),
 	}},
 	{"stop", []field{
-		duration("within", "time on SIGTERM for answering the open requests", time.Millisecond, time.Hour, func(s *Settings) *time.Duration { return &s.StopWithin }),
+		duration("within", "time on SIGTERM for answering the open requests", time.Millisecond, time.Hour, func(s *Settings) *time.Duration { return &s.StopTimeout }),
 	}},
 	{"log", []field{
 		wordChoice("level", "lowest level that is logged", []string{"debug", "info", "warn", "error"}, func(s *Settings) *string { return &s.LogLevel }),
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -13,7 +13,7 @@
 	Name    string
 	Address string // host:port
 	Slice   string
-	Hall    string
+	Zone    string
 	Life    balance.Life
 	Started time.Time // start of its database process; zero if unknown
 	// Instance grows when the node must be treated as a new one; see membership.Member.
@@ -23,17 +23,17 @@
 
 // Class is one class of requests, from a class block.
 type Class struct {
-	Name      string
-	Effect    balance.Effect
-	Scope     balance.Scope
-	Need      balance.Need
-	Bound     time.Duration // maximum age of the data, for NeedBounded
-	Target    time.Duration
-	Deadline  time.Duration
-	Window    time.Duration      // time for which nodes discard repeats of a keyed request
-	Value     float64            // of an answer by Target, relative to other classes
-	LateValue float64            // share of it, 0 to 1, for an answer after Target
-	Tokenless MissingTokenPolicy // for session reads
+	Name         string
+	Effect       balance.Effect
+	Scope        balance.Scope
+	Need         balance.Need
+	Bound        time.Duration // maximum age of the data, for NeedBounded
+	Target       time.Duration
+	Deadline     time.Duration
+	Window       time.Duration      // time for which nodes discard repeats of a keyed request
+	Value        float64            // of an answer by Target, relative to other classes
+	LateValue    float64            // share of it, 0 to 1, for an answer after Target
+	MissingToken MissingTokenPolicy // for session reads
 }
 
 // MissingTokenPolicy says how a session read that has no token is treated.
@@ -48,21 +48,21 @@
 
 // Settings holds the contents of a settings file. The table in fields.go maps fields to directives.
 type Settings struct {
-	Halls   []string
+	Zones   []string
 	Zone    string // zone that the driver runs in; "" if the file lists no halls
 	Classes []Class
 	Nodes   []Node
 
-	Inventory    []string // files and directories with the list of nodes
-	StateDir     string   // directory for the last good inventory; "" for none
-	Control      string   // path of the control socket; "" for none
-	Members      membership.Config
-	LeastMembers int // minimum number of nodes in each slice of the inventory
+	Inventory  []string // files and directories with the list of nodes
+	StateDir   string   // directory for the last good inventory; "" for none
+	Control    string   // path of the control socket; "" for none
+	Members    membership.Config
+	MinMembers int // minimum number of nodes in each slice of the inventory
 
-	TokenKeys    string // file with the keys that sign tokens; "" for unsigned tokens
-	TokenScope   bool   // a token is valid only in the session that it was issued to
-	SessionBytes int    // memory for sessions that the driver tracks itself
-	TokenHistory bool   // query nodes for the start positions of timelines, to detect tokens of lost writes
+	TokenKeys          string // file with the keys that sign tokens; "" for unsigned tokens
+	BindTokenToSession bool   // a token is valid only in the session that it was issued to
+	SessionBytes       int    // memory for sessions that the driver tracks itself
+	TokenHistory       bool   // query nodes for the start positions of timelines, to detect tokens of lost writes
 
 	ListenGRPC    string
 	ListenMetrics string
@@ -82,7 +82,7 @@
 	ColdFrom             float64 // share of its capacity, 0 to 1, that a cold node starts with
 	RampTime             time.Duration
 	ColdOverloadMultiple float64
-	ColdOverloadTime     time.Duration
+	ColdOverloadWindow   time.Duration
 	Cancel               bool
 	Probing              bool
 	ParallelAttempts     bool
@@ -95,7 +95,7 @@
 	ClockAge             time.Duration // a poll of a replica also polls the primary if the primary's log position is older
 
 	AdmissionOn bool
-	Admission   admission.Config // without classes, MaxOpen and MaxAdvice, which are set from other fields
+	Admission   admission.Config // without classes, MaxOpen and MaxRetryAfter, which are set from other fields
 
 	AnswerBytes  int           // maximum bytes of answers in flight to clients
 	Memory       int           // maximum bytes of the process; 0 for no bound
@@ -113,7 +113,7 @@
 	Database     string
 	User         string
 	PasswordFile string
-	StopWithin   time.Duration
+	StopTimeout  time.Duration
 
 	LogLevel  string
 	LogFormat string
@@ -123,22 +123,22 @@
 // Defaults returns the settings for a file without directives.
 func Defaults() *Settings {
 	return &Settings{
-		ListenGRPC: "127.0.0.1:7432", Members: membership.Defaults(), LeastMembers: 1, SessionBytes: 32 << 20,
+		ListenGRPC: "127.0.0.1:7432", Members: membership.Defaults(), MinMembers: 1, SessionBytes: 32 << 20,
 		MinBatchInterval: time.Millisecond, Positions: true, SubscribeWithin: 10 * time.Second,
 		DrainGrace: 500 * time.Millisecond, ColdFrom: 0.2, RampTime: 12 * time.Second, ColdOverloadMultiple: 3,
-		ColdOverloadTime: time.Second, Cancel: true, Probing: true, AttemptLimit: 10, DialTimeout: 250 * time.Millisecond,
+		ColdOverloadWindow: time.Second, Cancel: true, Probing: true, AttemptLimit: 10, DialTimeout: 250 * time.Millisecond,
 		RetryAfter: true, MaxRetryAfter: time.Second, StartWithin: time.Second, AnswerMargin: 20 * time.Millisecond,
 		ClockAge:    50 * time.Millisecond,
 		AdmissionOn: true, Admission: admission.Defaults(), MaxStreams: 10000, StreamStall: 10 * time.Second, AnswerBytes: 256 << 20,
 		MaxOpen: 20000, PoolSize: 64, IdleClose: 30 * time.Second, Linger: 10 * time.Second,
 		PollTimeout: 250 * time.Millisecond, MaxMessage: 16 << 20, MaxResult: 64 << 20,
-		Database: "umberladder", User: "umberladder", StopWithin: 10 * time.Second,
+		Database: "umberladder", User: "umberladder", StopTimeout: 10 * time.Second,
 		LogLevel: "info", LogFormat: "console", LogRepeat: 5 * time.Second,
 	}
 }
 
-// Within returns bytes, or an eighth of the memory limit if there is one and it is less.
-func (s *Settings) Within(bytes int) int {
+// CapToMemory returns bytes, or an eighth of the memory limit if there is one and it is less.
+func (s *Settings) CapToMemory(bytes int) int {
 	if s.Memory == 0 {
 		return bytes
 	}
@@ -149,11 +149,11 @@
 // deadlines that are AnswerMargin before those of the client.
 func (s *Settings) Router() balance.Config {
 	cfg := balance.Config{
-		Zone: max(0, indexOf(s.Halls, s.Zone)), Routers: s.Routers, MinBatchInterval: s.MinBatchInterval, Origin: s.Origin,
+		Zone: max(0, indexOf(s.Zones, s.Zone)), Routers: s.Routers, MinBatchInterval: s.MinBatchInterval, Origin: s.Origin,
 		Positions: s.Positions, LagPolicy: s.LagPolicy, CatchUpWait: s.CatchUpWait, RouterTokens: s.RouterTokens,
 		SubscribeToList: s.SubscribeToList, SubscribeWithin: s.SubscribeWithin, DrainGrace: s.DrainGrace, SoftRemoval: s.SoftRemoval,
 		AnswerSlack: s.AnswerMargin, ColdFrom: s.ColdFrom, RampTime: s.RampTime, ColdOverloadMultiple: s.ColdOverloadMultiple,
-		ColdOverloadWindow: s.ColdOverloadTime, Cancel: s.Cancel, Probing: s.Probing, ParallelAttempts: s.ParallelAttempts, AttemptLimit: s.AttemptLimit,
+		ColdOverloadWindow: s.ColdOverloadWindow, Cancel: s.Cancel, Probing: s.Probing, ParallelAttempts: s.ParallelAttempts, AttemptLimit: s.AttemptLimit,
 		RetryAfter: s.RetryAfter, MaxRetryAfter: s.MaxRetryAfter, DialTimeout: s.DialTimeout, ListShowsRole: s.ListShowsRole,
 	}
 	for _, c := range s.Classes {
--- a/settings/show.go
+++ b/settings/show.go
@@ -13,8 +13,8 @@
 // Defaults are marked [default]. The error is that of w.
 func (s *Settings) Show(w io.Writer) error {
 	var b strings.Builder
-	if len(s.Halls) > 0 {
-		fmt.Fprintf(&b, "hall %s\n", strings.Join(quoteAll(s.Halls), " "))
+	if len(s.Zones) > 0 {
+		fmt.Fprintf(&b, "hall %s\n", strings.Join(quoteAll(s.Zones), " "))
 	}
 	if len(s.Inventory) > 0 {
 		fmt.Fprintf(&b, "inventory %s\n", strings.Join(quoteAll(s.Inventory), " "))
@@ -68,8 +68,8 @@
 	if c.Need == balance.NeedBounded {
 		fmt.Fprintf(b, " %s", formatDuration(c.Bound))
 	}
-	if c.Tokenless != MissingTokenAccept {
-		fmt.Fprintf(b, "\n    without-token %s", [...]string{"accept", "primary", "refuse"}[c.Tokenless])
+	if c.MissingToken != MissingTokenAccept {
+		fmt.Fprintf(b, "\n    without-token %s", [...]string{"accept", "primary", "refuse"}[c.MissingToken])
 	}
 	fmt.Fprintf(b, "\n    target %s\n    deadline %s\n    worth %g\n    late-worth %g%%\n}\n",
 		formatDuration(c.Target), formatDuration(c.Deadline), c.Value, c.LateValue*100)
@@ -77,8 +77,8 @@
 
 func (n Node) show(b *strings.Builder) {
 	fmt.Fprintf(b, "node %s %s %s", quote(n.Name), quote(n.Address), quote("slice="+n.Slice))
-	if n.Hall != "" {
-		fmt.Fprintf(b, " %s", quote("hall="+n.Hall))
+	if n.Zone != "" {
+		fmt.Fprintf(b, " %s", quote("hall="+n.Zone))
 	}
 	if n.Life != balance.LifeReady {
 		fmt.Fprintf(b, " state=%s", [...]string{"ready", "draining", "gone"}[n.Life])
--- a/standin/catalog/client.go
+++ b/standin/catalog/client.go
@@ -13,14 +13,14 @@
 	return pgwire.AppendStartup(b, map[string]string{"user": "worker", "database": "catalog"})
 }
 
-// ReadText returns the text of a read of the given class with its request id. wait is the client's deadline, sent in whole
+// ReadQuery returns the text of a read of the given class with its request id. wait is the client's deadline, sent in whole
 // milliseconds.
-func ReadText(id, class string, wait time.Duration) string {
+func ReadQuery(id, class string, wait time.Duration) string {
 	return fmt.Sprintf(`SELECT body FROM objects WHERE oid = '7f3a' /* id=%s,c=%s,d=%d,cluster=%d */`, id, class, wait.Milliseconds(), PodGroup)
 }
 
-// WriteText returns the text of a write with its request id. wait is the client's deadline, sent in whole milliseconds.
-func WriteText(id string, wait time.Duration) string {
+// WriteQuery returns the text of a write with its request id. wait is the client's deadline, sent in whole milliseconds.
+func WriteQuery(id string, wait time.Duration) string {
 	return fmt.Sprintf(`INSERT INTO objects (oid, body) VALUES ('7f3a', '\x9f03') RETURNING body /* id=%s,c=write,d=%d,cluster=%d */`,
 		id, wait.Milliseconds(), PodGroup)
 }
--- a/standin/catalog/discovery.go
+++ b/standin/catalog/discovery.go
@@ -110,8 +110,8 @@
 	a.notifyWatches()
 }
 
-// SetVersion sets the list's version, to simulate an agent that has seen more or fewer changes.
-func (a *Agent) SetVersion(rev int) {
+// SetRev sets the list's version, to simulate an agent that has seen more or fewer changes.
+func (a *Agent) SetRev(rev int) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.rev = rev
--- a/standin/catalog/member.go
+++ b/standin/catalog/member.go
@@ -206,7 +206,7 @@
 	if text == "SHOW gauges" {
 		m.waitWhileHung()
 		now := float64(time.Now().UnixMicro()) / 1e6
-		c.Write(m.Ready(Row(fmt.Sprintf("x0=%.6f,x1=%d,util=0.1", now, bit(m.Primary)))))
+		c.Write(m.AppendReady(Row(fmt.Sprintf("x0=%.6f,x1=%d,util=0.1", now, bit(m.Primary)))))
 		return
 	}
 	id := ""
@@ -242,9 +242,9 @@
 	return pgwire.AppendCommandComplete(b, "SELECT 1")
 }
 
-// Ready appends the end of an answer: the member's role and the time up to which its data is current, as
+// AppendReady appends the end of an answer: the member's role and the time up to which its data is current, as
 // ParameterStatus, and ReadyForQuery.
-func (m *Member) Ready(b []byte) []byte {
+func (m *Member) AppendReady(b []byte) []byte {
 	role := "replica"
 	if m.Primary {
 		role = "master"
@@ -258,4 +258,4 @@
 func Value(id string) string { return "value of " + id }
 
 // Answer returns the member's complete answer to the request of an id.
-func (m *Member) Answer(id string) []byte { return m.Ready(Row(Value(id))) }
+func (m *Member) Answer(id string) []byte { return m.AppendReady(Row(Value(id))) }
