--- a/standin/cluster.go
+++ b/standin/cluster.go
@@ -5,9 +5,9 @@
 // defaultSystemID is the system identifier of the cluster that groups simulate.
 const defaultSystemID = 7_000_000_000_000_000_001
 
-// Strange makes the node the primary of another cluster, with an empty log on the given timeline, as a machine that was
+// SwitchCluster makes the node the primary of another cluster, with an empty log on the given timeline, as a machine that was
 // reused at the same address. Its connections are closed and it no longer follows the group.
-func (n *Node) Strange(system uint64, timeline uint32) {
+func (n *Node) SwitchCluster(system uint64, timeline uint32) {
 	n.mu.Lock()
 	for _, s := range n.conns {
 		s.nc.Close() // another process serves the address from here on
@@ -21,9 +21,9 @@
 	n.applied, n.visible, n.hidden, n.active = 0, 0, nil, nil
 }
 
-// Usurp makes a replica act as a second primary on the current timeline, as one started without standby.signal. Its writes
+// PromoteOnSameTimeline makes a replica act as a second primary on the current timeline, as one started without standby.signal. Its writes
 // go to a branch of its own.
-func (g *Group) Usurp(n *Node) {
+func (g *Group) PromoteOnSameTimeline(n *Node) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	n.applied = max(n.applied, n.visible)
@@ -71,8 +71,8 @@
 	return p.addr
 }
 
-// Jump shifts the node's clock by a duration, which may be negative; shifts add up.
-func (n *Node) Jump(by time.Duration) {
+// ShiftClock shifts the node's clock by a duration, which may be negative; shifts add up.
+func (n *Node) ShiftClock(by time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.clockOffset += by
--- a/standin/log.go
+++ b/standin/log.go
@@ -352,7 +352,7 @@
 // waitVisible waits until a logged commit may become visible: for the configured delay, for HoldCommits to end and for
 // the synchronous standbys. It returns false if the process has ended.
 func (n *Node) waitVisible(p *process, at position.Position) bool {
-	sleep(p.ctx, n.cfg.Settle)
+	sleep(p.ctx, n.cfg.CommitDelay)
 	g := n.group
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -403,8 +403,8 @@
 			return
 		}
 		b, next := n.branch, n.branch.records[n.applied]
-		due := next.committedAt.Add(n.cfg.Ship + n.cfg.Async)
-		cost := time.Duration(float64(n.cfg.Apply) * max(1, n.replaySlowdown))
+		due := next.committedAt.Add(n.cfg.ShipDelay + n.cfg.FlushDelay)
+		cost := time.Duration(float64(n.cfg.ReplayTime) * max(1, n.replaySlowdown))
 		g.mu.Unlock()
 		sleep(p.ctx, time.Until(due))
 		sleep(p.ctx, cost/2) // also when behind: catching up costs as much per record
@@ -432,11 +432,11 @@
 
 // discardUnflushed removes the records that a crashing primary had not flushed to disk.
 func (n *Node) discardUnflushed() {
-	if !n.actsAsPrimary || n.cfg.Async == 0 || n != n.group.primary {
+	if !n.actsAsPrimary || n.cfg.FlushDelay == 0 || n != n.group.primary {
 		return
 	}
 	b := n.branch
-	for k := len(b.records); k > 0 && time.Since(b.records[k-1].committedAt) < n.cfg.Async; k-- {
+	for k := len(b.records); k > 0 && time.Since(b.records[k-1].committedAt) < n.cfg.FlushDelay; k-- {
 		key := b.records[k-1].key
 		b.records, b.byKey[key] = b.records[:k-1], b.byKey[key][:len(b.byKey[key])-1]
 	}
@@ -447,7 +447,7 @@
 // receivedLSN returns the end of the log that a replica has received, replayed or not.
 func (n *Node) receivedLSN() uint64 {
 	at := n.applied
-	for at < len(n.branch.records) && time.Since(n.branch.records[at].committedAt) >= n.cfg.Ship+n.cfg.Async {
+	for at < len(n.branch.records) && time.Since(n.branch.records[at].committedAt) >= n.cfg.ShipDelay+n.cfg.FlushDelay {
 		at++
 	}
 	return n.branch.position(at).LSN
@@ -511,7 +511,7 @@
 	var all []string
 	for _, m := range n.group.nodes {
 		if n.actsAsPrimary && m != n && m.running && m.branch == n.branch {
-			all = append(all, cmp.Or(m.cfg.From, "127.0.0.1")+" walreceiver")
+			all = append(all, cmp.Or(m.cfg.StandbyHost, "127.0.0.1")+" walreceiver")
 		}
 	}
 	return strings.Join(all, ",")
--- a/standin/node.go
+++ b/standin/node.go
@@ -15,35 +15,35 @@
 
 // Config is how a node behaves while no fault is injected.
 type Config struct {
-	Cores    int           // statements that run concurrently; at least 1
-	Read     time.Duration // core time of a read
-	Write    time.Duration // core time of a write
-	Ship     time.Duration // delay until a replica has received a log record
-	Apply    time.Duration // replay time of one record
-	MaxConns int           // further connections are refused with SQLSTATE 53300; 0 for no limit
-	ColdFrom float64       // share of full speed after a cold start, above 0 up to 1
-	Ramp     time.Duration // time from a cold start to full speed, which rises linearly
-	Password string        // checked by SCRAM-SHA-256; none if empty
-	Settle   time.Duration // delay from a commit's log record until the commit is visible
+	Cores       int           // statements that run concurrently; at least 1
+	Read        time.Duration // core time of a read
+	Write       time.Duration // core time of a write
+	ShipDelay   time.Duration // delay until a replica has received a log record
+	ReplayTime  time.Duration // replay time of one record
+	MaxConns    int           // further connections are refused with SQLSTATE 53300; 0 for no limit
+	ColdFrom    float64       // share of full speed after a cold start, above 0 up to 1
+	RampTime    time.Duration // time from a cold start to full speed, which rises linearly
+	Password    string        // checked by SCRAM-SHA-256; none if empty
+	CommitDelay time.Duration // delay from a commit's log record until the commit is visible
 	// RemoteApply is the number of replicas that must have replayed a commit before it is visible on the primary and
 	// answered, as with synchronous_commit = remote_apply.
 	RemoteApply int
-	// Async is the delay until a commit's record is flushed to disk and can be shipped to the replicas, while the commit
+	// FlushDelay is the delay until a commit's record is flushed to disk and can be shipped to the replicas, while the commit
 	// is visible and answered immediately, as with synchronous_commit off. A crash loses records not yet flushed.
-	Async      time.Duration
-	Repeatable bool          // transactions are repeatable read by default: one snapshot per transaction, not per statement
-	ReadMost   time.Duration // reads take from Read to this, log-uniformly distributed; 0 for Read
-	Spread     float64       // standard deviation of the logarithm of core times, which are lognormal with means Read and Write; 0 for constant times
-	Tail       float64       // shape of a Pareto distribution of core times, above 1, in place of the lognormal one; 0 for none
-	Greet      time.Duration // time to open a connection; connections are opened one at a time
-	From       string        // host address of the node in its primary's pg_stat_replication; 127.0.0.1 if empty
-	Params     bool          // the node also reports its facts by ParameterStatus, as with an extension
+	FlushDelay       time.Duration
+	RepeatableRead   bool          // transactions are repeatable read by default: one snapshot per transaction, not per statement
+	MaxRead          time.Duration // reads take from Read to this, log-uniformly distributed; 0 for Read
+	LogSigma         float64       // standard deviation of the logarithm of core times, which are lognormal with means Read and Write; 0 for constant times
+	ParetoShape      float64       // shape of a Pareto distribution of core times, above 1, in place of the lognormal one; 0 for none
+	ConnectTime      time.Duration // time to open a connection; connections are opened one at a time
+	StandbyHost      string        // host address of the node in its primary's pg_stat_replication; 127.0.0.1 if empty
+	ReportParameters bool          // the node also reports its facts by ParameterStatus, as with an extension
 }
 
 // Node is one simulated PostgreSQL node. An injected fault lasts until another call ends it.
 type Node struct {
 	Name  string
-	Hall  string
+	Zone  string
 	group *Group
 	cfg   Config
 	addr  string
@@ -112,7 +112,7 @@
 }
 
 func newNode(g *Group, name, zone string, cfg Config) *Node {
-	n := &Node{Name: name, Hall: zone, group: g, cfg: cfg, cores: make(chan struct{}, max(1, cfg.Cores)),
+	n := &Node{Name: name, Zone: zone, group: g, cfg: cfg, cores: make(chan struct{}, max(1, cfg.Cores)),
 		conns: map[uint64]*session{}, addr: "127.0.0.1:0"}
 	n.changed = sync.NewCond(&n.mu)
 	return n
@@ -182,9 +182,9 @@
 	}
 }
 
-// Die crashes the node's process: its connections are closed and its log position stays, but a primary loses the
+// Crash crashes the node's process: its connections are closed and its log position stays, but a primary loses the
 // records that it had not flushed to disk. It returns when all goroutines of the process have ended.
-func (n *Node) Die() {
+func (n *Node) Crash() {
 	n.group.mu.Lock()
 	n.running = false
 	n.discardUnflushed()
@@ -258,8 +258,8 @@
 	n.slowdown = times
 }
 
-// Lag multiplies the replay time of each record; 1 ends the fault.
-func (n *Node) Lag(times float64) {
+// SlowReplay multiplies the replay time of each record; 1 ends the fault.
+func (n *Node) SlowReplay(times float64) {
 	n.group.mu.Lock()
 	defer n.group.mu.Unlock()
 	n.replaySlowdown = times
@@ -273,16 +273,16 @@
 	n.refusalCode = sqlstate
 }
 
-// CutAfter makes the node close each connection after it has sent that many bytes on it, even within a message; 0 ends
+// DisconnectAfter makes the node close each connection after it has sent that many bytes on it, even within a message; 0 ends
 // the fault.
-func (n *Node) CutAfter(bytes int) {
+func (n *Node) DisconnectAfter(bytes int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.disconnectAfter = bytes
 }
 
-// Greet adds d to the time that opening a connection takes; 0 ends the fault.
-func (n *Node) Greet(d time.Duration) {
+// DelayConnect adds d to the time that opening a connection takes; 0 ends the fault.
+func (n *Node) DelayConnect(d time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.connectDelay = d
@@ -291,7 +291,7 @@
 // connectWait reserves the time to open a new connection after those that are being opened, and returns the wait until
 // it is open.
 func (n *Node) connectWait() time.Duration {
-	if n.cfg.Greet == 0 {
+	if n.cfg.ConnectTime == 0 {
 		return 0
 	}
 	n.mu.Lock()
@@ -300,28 +300,28 @@
 	if n.connectQueueEnd.Before(now) {
 		n.connectQueueEnd = now
 	}
-	n.connectQueueEnd = n.connectQueueEnd.Add(n.cfg.Greet)
+	n.connectQueueEnd = n.connectQueueEnd.Add(n.cfg.ConnectTime)
 	return n.connectQueueEnd.Sub(now)
 }
 
-// Cap limits the node's connections; 0 restores the configured limit.
-func (n *Node) Cap(conns int) {
+// LimitConns limits the node's connections; 0 restores the configured limit.
+func (n *Node) LimitConns(conns int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.cap = conns
 }
 
-// Reap silently loses connections idle for longer than the given time: a message on a lost connection is never answered.
+// LoseIdle silently loses connections idle for longer than the given time: a message on a lost connection is never answered.
 // 0 ends the fault for connections that are not lost yet.
-func (n *Node) Reap(idle time.Duration) {
+func (n *Node) LoseIdle(idle time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.idleLimit = idle
 }
 
-// Old makes the node answer reads from data as old as age while it reports its current log position: a planted fault that
+// ServeStale makes the node answer reads from data as old as age while it reports its current log position: a planted fault that
 // a judge of the trace must find. 0 ends the fault.
-func (n *Node) Old(age time.Duration) {
+func (n *Node) ServeStale(age time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.readAge = age
@@ -342,8 +342,8 @@
 	return min(visible, sort.Search(len(b.records), func(i int) bool { return b.records[i].committedAt.After(when) }))
 }
 
-// Through sets the simulated link between the node and its drivers; nil removes it.
-func (n *Node) Through(l Link) {
+// SetLink sets the simulated link between the node and its drivers; nil removes it.
+func (n *Node) SetLink(l Link) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.link = l
@@ -367,7 +367,7 @@
 // Close ends the processes of the group's nodes and returns when all of them have ended.
 func (g *Group) Close() {
 	for _, n := range g.Nodes() {
-		n.Die()
+		n.Crash()
 	}
 }
 
@@ -425,19 +425,19 @@
 
 // readCost draws the core time of one read.
 func (c *Config) readCost() time.Duration {
-	if c.ReadMost <= c.Read {
+	if c.MaxRead <= c.Read {
 		return c.drawCost(c.Read)
 	}
-	return time.Duration(float64(c.Read) * math.Pow(float64(c.ReadMost)/float64(c.Read), rand.Float64()))
+	return time.Duration(float64(c.Read) * math.Pow(float64(c.MaxRead)/float64(c.Read), rand.Float64()))
 }
 
 // drawCost draws the core time of one statement with the given mean.
 func (c *Config) drawCost(mean time.Duration) time.Duration {
 	switch {
-	case c.Tail > 1:
-		return time.Duration(float64(mean) * min((c.Tail-1)/c.Tail*math.Pow(1-rand.Float64(), -1/c.Tail), 1000))
-	case c.Spread > 0:
-		return time.Duration(float64(mean) * math.Exp(rand.NormFloat64()*c.Spread-c.Spread*c.Spread/2))
+	case c.ParetoShape > 1:
+		return time.Duration(float64(mean) * min((c.ParetoShape-1)/c.ParetoShape*math.Pow(1-rand.Float64(), -1/c.ParetoShape), 1000))
+	case c.LogSigma > 0:
+		return time.Duration(float64(mean) * math.Exp(rand.NormFloat64()*c.LogSigma-c.LogSigma*c.LogSigma/2))
 	}
 	return mean
 }
@@ -447,8 +447,8 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	f := max(1, n.slowdown)
-	if age := time.Since(n.coldSince); !n.coldSince.IsZero() && age < n.cfg.Ramp {
-		f /= n.cfg.ColdFrom + (1-n.cfg.ColdFrom)*age.Seconds()/n.cfg.Ramp.Seconds()
+	if age := time.Since(n.coldSince); !n.coldSince.IsZero() && age < n.cfg.RampTime {
+		f /= n.cfg.ColdFrom + (1-n.cfg.ColdFrom)*age.Seconds()/n.cfg.RampTime.Seconds()
 	}
 	return f
 }
@@ -465,8 +465,8 @@
 	}
 }
 
-// Stands returns the position up to which the node has replayed the log.
-func (n *Node) Stands() position.Position {
+// Position returns the position up to which the node has replayed the log.
+func (n *Node) Position() position.Position {
 	n.group.mu.Lock()
 	defer n.group.mu.Unlock()
 	return n.branch.position(n.applied)
--- a/standin/pgx_test.go
+++ b/standin/pgx_test.go
@@ -13,8 +13,8 @@
 )
 
 func testConfig() Config {
-	return Config{Cores: 4, Read: time.Millisecond, Write: time.Millisecond, Ship: time.Millisecond,
-		Apply: 100 * time.Microsecond, MaxConns: 50, ColdFrom: 0.2, Ramp: time.Second}
+	return Config{Cores: 4, Read: time.Millisecond, Write: time.Millisecond, ShipDelay: time.Millisecond,
+		ReplayTime: 100 * time.Microsecond, MaxConns: 50, ColdFrom: 0.2, RampTime: time.Second}
 }
 
 func newGroup(t *testing.T, cfg Config, members int) (*Group, *Trace) {
@@ -46,7 +46,7 @@
 	t.Cleanup(func() { goleak.VerifyNone(t, before) })
 	for _, params := range []bool{false, true} {
 		cfg := testConfig()
-		cfg.Password, cfg.Params = "leyndarmál", params
+		cfg.Password, cfg.ReportParameters = "leyndarmál", params
 		g, trace := newGroup(t, cfg, 2)
 		p := connect(t, g.Nodes()[0], cfg.Password)
 		if tag, err := p.Exec(t.Context(), "insert into kv (key, value) values ($1, $2)", "a", "one"); err != nil || tag.RowsAffected() != 1 {
@@ -109,8 +109,8 @@
 	for read(t, r, "a") != "one" {
 		time.Sleep(time.Millisecond)
 	}
-	nodes[1].Lag(1e6)
-	nodes[2].Lag(1e6)
+	nodes[1].SlowReplay(1e6)
+	nodes[2].SlowReplay(1e6)
 	write(p, "two")
 	if v := read(t, r, "a"); v != "one" {
 		t.Errorf("the lagging replica has %q", v)
@@ -127,7 +127,7 @@
 	if len(commits) != 3 || g.Survives(commits[1].Position, 2) || !g.Survives(commits[0].Position, 2) {
 		t.Errorf("wrong commits survive on timeline 2: %+v", commits)
 	}
-	nodes[0].Die()
+	nodes[0].Crash()
 	if err := nodes[0].Restart(); err != nil {
 		t.Fatal(err)
 	}
--- a/standin/session.go
+++ b/standin/session.go
@@ -199,7 +199,7 @@
 	}
 	s.user = params["user"]
 	level, isSet := params["default_transaction_isolation"]
-	s.repeatableRead = isSet && level != "read committed" || !isSet && n.cfg.Repeatable
+	s.repeatableRead = isSet && level != "read committed" || !isSet && n.cfg.RepeatableRead
 	if !n.waitResponsive(s.process) {
 		return false
 	}
@@ -312,7 +312,7 @@
 
 // appendReady appends ReadyForQuery, preceded by the node's facts if it reports them by ParameterStatus and they changed.
 func (s *session) appendReady() {
-	if s.node.cfg.Params {
+	if s.node.cfg.ReportParameters {
 		f := s.node.facts()
 		if text := fmt.Sprintf("%v %s %s %d", f.replica, f.at, f.snapshot, f.received); text != s.reportedFacts {
 			s.reportedFacts = text
--- a/standin/snapshot_test.go
+++ b/standin/snapshot_test.go
@@ -40,7 +40,7 @@
 // TestLoggedBeforeVisible: a commit is in the log, and its position reported, before the primary shows it.
 func TestLoggedBeforeVisible(t *testing.T) {
 	cfg := testConfig()
-	cfg.Settle = 200 * time.Millisecond
+	cfg.CommitDelay = 200 * time.Millisecond
 	g, _ := newGroup(t, cfg, 1)
 	p := g.Nodes()[0]
 	w, r := connect(t, p, "x"), connect(t, p, "x")
@@ -111,7 +111,7 @@
 	g, _ := newGroup(t, testConfig(), 2)
 	n := g.Nodes()[1]
 	p, r := connect(t, g.Nodes()[0], "x"), connect(t, n, "x")
-	n.Lag(20000) // two seconds per record
+	n.SlowReplay(20000) // two seconds per record
 	at := n.facts().at
 	if err := <-startWrite(t, p, "one"); err != nil {
 		t.Fatal(err)
@@ -137,7 +137,7 @@
 		{true, "select value, lsn from kv_late($1)", "one"},
 	} {
 		cfg := testConfig()
-		cfg.Read, cfg.Repeatable = 200*time.Millisecond, c.repeatable
+		cfg.Read, cfg.RepeatableRead = 200*time.Millisecond, c.repeatable
 		g, trace := newGroup(t, cfg, 1)
 		w, r := connect(t, g.Nodes()[0], "x"), connect(t, g.Nodes()[0], "x")
 		if err := <-startWrite(t, w, "one"); err != nil {
@@ -171,7 +171,7 @@
 // disk loses it.
 func TestAsynchronousCommit(t *testing.T) {
 	cfg := testConfig()
-	cfg.Async = time.Hour
+	cfg.FlushDelay = time.Hour
 	g, _ := newGroup(t, cfg, 2)
 	nodes := g.Nodes()
 	w, r := connect(t, nodes[0], "x"), connect(t, nodes[0], "x")
@@ -182,7 +182,7 @@
 	if v, at := read(t, r, "a"), nodes[0].facts().at.LSN; v != "one" || at <= before {
 		t.Errorf("read %q at LSN %d; LSN %d before the write", v, at, before)
 	}
-	nodes[0].Die()
+	nodes[0].Crash()
 	g.Promote(nodes[1])
 	if err := nodes[0].Restart(); err != nil {
 		t.Fatal(err)
--- a/standin/sql.go
+++ b/standin/sql.go
@@ -246,7 +246,7 @@
 	}
 	value, lsn, found := snap.value(p.arg(0))
 	s.updateStatement(st, func(st *Statement) {
-		st.Ran, st.Position, st.Replica, st.Over = true, snap.position(), snap.replica, snap.xidWatermark
+		st.Ran, st.Position, st.Replica, st.XIDWatermark = true, snap.position(), snap.replica, snap.xidWatermark
 	})
 	if strings.Contains(f.prefix, "generate_series") {
 		return s.series(f, p)
--- a/standin/trace.go
+++ b/standin/trace.go
@@ -34,9 +34,9 @@
 	Code     string            // SQLSTATE with which it was refused; "" if it was not
 	Position position.Position // log position that a read or facts query saw, or that a write reached
 	Replica  bool              // the node acted as a replica
-	// Over is set for a read: on a primary, the lowest transaction id in progress; on a replica, the lowest id above every
+	// XIDWatermark is set for a read: on a primary, the lowest transaction id in progress; on a replica, the lowest id above every
 	// transaction visible there. It is 0 for other statements.
-	Over uint64
+	XIDWatermark uint64
 }
 
 // Start is one cold start of a node's process; warm starts of new members are not recorded.
@@ -63,8 +63,8 @@
 	At   time.Time
 }
 
-// Opens returns all connections that the nodes have accepted, in order.
-func (t *Trace) Opens() []Connection {
+// Connections returns all connections that the nodes have accepted, in order.
+func (t *Trace) Connections() []Connection {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return append([]Connection(nil), t.connections...)
@@ -91,8 +91,8 @@
 	return append([]Start(nil), t.starts...)
 }
 
-// Open returns the number of connections open to all nodes.
-func (t *Trace) Open() (n int) {
+// OpenConns returns the number of connections open to all nodes.
+func (t *Trace) OpenConns() (n int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, c := range t.openConns {
@@ -101,8 +101,8 @@
 	return n
 }
 
-// Opened returns the number of connections that the nodes have accepted.
-func (t *Trace) Opened() int {
+// TotalConns returns the number of connections that the nodes have accepted.
+func (t *Trace) TotalConns() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.totalConns
--- a/token/set.go
+++ b/token/set.go
@@ -8,24 +8,24 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// MaxBag is the largest number of texts in a set.
-const MaxBag = 16
+// MaxSetSize is the largest number of texts in a set.
+const MaxSetSize = 16
 
 // Unknown is a text that represents one or more lost tokens: tokens that could not be parsed or did not fit. A driver
 // treats it as a lost token: a read of a session class then requires the present or is refused.
 const Unknown = "!"
 
-// Bag is a set of token texts, for services that have no keys and so cannot sign a joined token. A driver that receives
+// Set is a set of token texts, for services that have no keys and so cannot sign a joined token. A driver that receives
 // it joins the tokens that it can verify and answers with one token that covers all of them. The zero value is the
 // empty set. Sets are immutable: methods return a new one.
-type Bag struct{ texts []string }
+type Set struct{ texts []string }
 
-// ParseBag parses the values of one or more headers, each a list of token texts separated by dots, commas or spaces. A
+// ParseSet parses the values of one or more headers, each a list of token texts separated by dots, commas or spaces. A
 // text that is not a token is replaced by Unknown, as is a value longer than 65536 bytes.
-func ParseBag(values ...string) Bag {
-	var b Bag
+func ParseSet(values ...string) Set {
+	var b Set
 	for _, v := range values {
-		if len(v) > maxText*MaxBag {
+		if len(v) > maxText*MaxSetSize {
 			b = b.Add(Unknown)
 			continue
 		}
@@ -44,8 +44,8 @@
 // their join. unknown reports that the text contains Unknown. It returns an *Error for a malformed token, for one that
 // Verify refuses, and for a text longer than 65536 bytes.
 func (k *Keyring) VerifyAll(text, scope string) (t Token, unknown bool, err error) {
-	if len(text) > maxText*MaxBag {
-		return t, false, errorf("text of %d characters is over the limit of %d", len(text), maxText*MaxBag)
+	if len(text) > maxText*MaxSetSize {
+		return t, false, errorf("text of %d characters is over the limit of %d", len(text), maxText*MaxSetSize)
 	}
 	for _, one := range splitTexts(text) {
 		if one == Unknown {
@@ -64,7 +64,7 @@
 // Add returns the union with one text. A text that is not a token is added as Unknown. Texts that another one covers
 // are kept, as without keys it is not known whether the driver will accept the other. Over the limit of 16 texts, the
 // first in sort order are dropped and Unknown is added.
-func (b Bag) Add(text string) Bag {
+func (b Set) Add(text string) Set {
 	if text == "" || slices.Contains(b.texts, text) {
 		return b
 	}
@@ -72,18 +72,18 @@
 		return b.Add(Unknown)
 	}
 	all := append(slices.Clone(b.texts), text)
-	if len(all) > MaxBag {
-		all = all[len(all)-MaxBag+1:]
+	if len(all) > MaxSetSize {
+		all = all[len(all)-MaxSetSize+1:]
 		if !slices.Contains(all, Unknown) {
 			all = append(all, Unknown)
 		}
 	}
 	slices.Sort(all)
-	return Bag{all}
+	return Set{all}
 }
 
 // Join returns the union of b and o, limited to 16 texts as by Add.
-func (b Bag) Join(o Bag) Bag {
+func (b Set) Join(o Set) Set {
 	for _, text := range o.texts {
 		b = b.Add(text)
 	}
@@ -92,20 +92,20 @@
 
 // Replace returns the set after a driver answered a request that carried the texts of sent. These are replaced by the
 // answer's token, which covers them. Texts added since are kept. An empty answer removes the texts only.
-func (b Bag) Replace(sent Bag, answer string) Bag {
-	rest := Bag{slices.DeleteFunc(slices.Clone(b.texts), func(t string) bool { return slices.Contains(sent.texts, t) })}
+func (b Set) Replace(sent Set, answer string) Set {
+	rest := Set{slices.DeleteFunc(slices.Clone(b.texts), func(t string) bool { return slices.Contains(sent.texts, t) })}
 	return rest.Add(answer)
 }
 
 // Absorb returns the union with the set from a called service's answer, without the texts of b that it covers. The
 // service is trusted not to claim more than its data includes, so covered texts require nothing more. If from contains
 // Unknown, nothing is removed.
-func (b Bag) Absorb(from Bag) Bag {
-	have, complete := from.Peek()
+func (b Set) Absorb(from Set) Set {
+	have, complete := from.JoinUnverified()
 	if !complete {
 		return b.Join(from)
 	}
-	rest := Bag{}
+	rest := Set{}
 	for _, text := range b.texts {
 		if one, err := Parse(text); text == Unknown || err != nil || !have.Covers(one) {
 			rest = rest.Add(text)
@@ -115,25 +115,25 @@
 }
 
 // HasUnknown reports whether a token was lost, that is, whether the set contains Unknown.
-func (b Bag) HasUnknown() bool { return slices.Contains(b.texts, Unknown) }
+func (b Set) HasUnknown() bool { return slices.Contains(b.texts, Unknown) }
 
 // Digest returns a 64-bit hash of the set as 16 hexadecimal digits, by which a service identifies the set whose lost
 // token its answer settled.
-func (b Bag) Digest() string { return fmt.Sprintf("%016x", xxhash.Sum64String(b.String())) }
+func (b Set) Digest() string { return fmt.Sprintf("%016x", xxhash.Sum64String(b.String())) }
 
 // IsEmpty reports whether the set has no texts.
-func (b Bag) IsEmpty() bool { return len(b.texts) == 0 }
+func (b Set) IsEmpty() bool { return len(b.texts) == 0 }
 
 // Texts returns a sorted copy of the texts.
-func (b Bag) Texts() []string { return slices.Clone(b.texts) }
+func (b Set) Texts() []string { return slices.Clone(b.texts) }
 
 // String returns the sorted texts separated by dots.
-func (b Bag) String() string { return strings.Join(b.texts, ".") }
+func (b Set) String() string { return strings.Join(b.texts, ".") }
 
-// Peek returns the join of all tokens in the set without verifying signatures. It is meant for caches, where a forged
+// JoinUnverified returns the join of all tokens in the set without verifying signatures. It is meant for caches, where a forged
 // token that requires too little harms only the client that presents it. complete is false if the set contains Unknown,
 // whose requirements are not known.
-func (b Bag) Peek() (t Token, complete bool) {
+func (b Set) JoinUnverified() (t Token, complete bool) {
 	complete = true
 	for _, text := range b.texts {
 		one, err := Parse(text)
--- a/token/token.go
+++ b/token/token.go
@@ -79,9 +79,9 @@
 // IsZero reports whether the token requires nothing.
 func (t Token) IsZero() bool { return len(t.entries) == 0 && !t.present }
 
-// At returns the position that the token requires of a slice: the listed one, or position.Present if the slice is not
+// Position returns the position that the token requires of a slice: the listed one, or position.Present if the slice is not
 // listed and the token requires the present of such slices. It returns false if nothing is required of the slice.
-func (t Token) At(slice string) (position.Position, bool) {
+func (t Token) Position(slice string) (position.Position, bool) {
 	at, ok := t.PositionByID(IDOf(slice))
 	if !ok {
 		return position.Position{}, false
@@ -105,8 +105,8 @@
 // WithPresent returns a token that additionally requires the present position of every slice that t does not list.
 func (t Token) WithPresent() Token { return Token{entries: t.entries, present: true} }
 
-// Place returns the position listed for a slice, the zero Position if the slice is not listed.
-func (t Token) Place(id SliceID) position.Position {
+// ListedPosition returns the position listed for a slice, the zero Position if the slice is not listed.
+func (t Token) ListedPosition(id SliceID) position.Position {
 	if i, ok := t.find(id); ok {
 		return t.entries[i].at
 	}
@@ -138,8 +138,8 @@
 	return out
 }
 
-// AsksForPresent reports whether the token requires the present position of every slice that it does not list.
-func (t Token) AsksForPresent() bool { return t.present }
+// RequiresPresent reports whether the token requires the present position of every slice that it does not list.
+func (t Token) RequiresPresent() bool { return t.present }
 
 // With returns a token in which the position of one slice is set to at, even if it was higher. The zero Position
 // removes the slice, which is safe once every member has long replayed its position.
--- a/token/token_test.go
+++ b/token/token_test.go
@@ -87,8 +87,8 @@
 			t.Fatal("a token does not cover the zero token")
 		}
 		for _, s := range []string{"a", "b", "c", "d", "e", "f"} {
-			x, _ := a.At(s)
-			if y, _ := j.At(s); !y.Covers(x) {
+			x, _ := a.Position(s)
+			if y, _ := j.Position(s); !y.Covers(x) {
 				t.Fatalf("the join requires less of %s", s)
 			}
 		}
@@ -101,11 +101,11 @@
 	for i := range 3 * MaxSlices {
 		tok = tok.With(fmt.Sprintf("s%d", i), position.Position{Timeline: 1, LSN: uint64(i + 1)})
 	}
-	if len(tok.Slices()) > MaxSlices || !tok.AsksForPresent() {
-		t.Fatalf("%d slices, present %v", len(tok.Slices()), tok.AsksForPresent())
+	if len(tok.Slices()) > MaxSlices || !tok.RequiresPresent() {
+		t.Fatalf("%d slices, present %v", len(tok.Slices()), tok.RequiresPresent())
 	}
 	for i := range 3 * MaxSlices {
-		at, ok := tok.At(fmt.Sprintf("s%d", i))
+		at, ok := tok.Position(fmt.Sprintf("s%d", i))
 		if !ok || !at.Covers(position.Position{Timeline: 1, LSN: uint64(i + 1)}) {
 			t.Fatalf("s%d: %v", i, at)
 		}
@@ -248,29 +248,29 @@
 	one := func(lsn uint64) string {
 		return Token{}.With("news", position.Position{Timeline: 1, LSN: lsn}).String()
 	}
-	b := ParseBag(one(1)+"."+one(2), one(2)+", "+one(3))
-	if got, complete := b.Peek(); !complete || len(b.Texts()) != 3 {
+	b := ParseSet(one(1)+"."+one(2), one(2)+", "+one(3))
+	if got, complete := b.JoinUnverified(); !complete || len(b.Texts()) != 3 {
 		t.Errorf("%v, %v, %v", b, got, complete)
 	}
-	if _, complete := b.Add("garbage").Peek(); complete {
+	if _, complete := b.Add("garbage").JoinUnverified(); complete {
 		t.Error("a malformed token was not counted as lost")
 	}
-	if _, complete := ParseBag(one(1)[:5]).Peek(); complete {
+	if _, complete := ParseSet(one(1)[:5]).JoinUnverified(); complete {
 		t.Error("a truncated token was not counted as lost")
 	}
-	for i := range uint64(2 * MaxBag) {
+	for i := range uint64(2 * MaxSetSize) {
 		b = b.Add(one(100 + i))
 	}
-	if _, complete := b.Peek(); complete || len(b.Texts()) > MaxBag {
+	if _, complete := b.JoinUnverified(); complete || len(b.Texts()) > MaxSetSize {
 		t.Errorf("%d texts, complete %v", len(b.Texts()), complete)
 	}
-	sent := ParseBag(one(1), one(2))
+	sent := ParseSet(one(1), one(2))
 	later := sent.Add(one(9))
-	if got := later.Replace(sent, one(5)); got.String() != ParseBag(one(5), one(9)).String() {
+	if got := later.Replace(sent, one(5)); got.String() != ParseSet(one(5), one(9)).String() {
 		t.Errorf("after Replace: %v", got)
 	}
 	rapid.Check(t, func(t *rapid.T) {
-		x, y := ParseBag(one(rapid.Uint64Range(1, 9).Draw(t, "x"))), ParseBag(one(rapid.Uint64Range(1, 9).Draw(t, "y")), "!")
+		x, y := ParseSet(one(rapid.Uint64Range(1, 9).Draw(t, "x"))), ParseSet(one(rapid.Uint64Range(1, 9).Draw(t, "y")), "!")
 		if x.Join(y).String() != y.Join(x).String() || x.Join(x).String() != x.String() {
 			t.Fatal("the union is not commutative and idempotent")
 		}
@@ -300,11 +300,11 @@
 func FuzzSet(f *testing.F) {
 	f.Add("a.b,c", "!")
 	f.Fuzz(func(t *testing.T, x, y string) {
-		b := ParseBag(x, y)
-		if len(b.Texts()) > MaxBag {
+		b := ParseSet(x, y)
+		if len(b.Texts()) > MaxSetSize {
 			t.Fatal("more than 16 texts")
 		}
-		if again := ParseBag(b.String()); again.String() != b.String() {
+		if again := ParseSet(b.String()); again.String() != b.String() {
 			t.Fatalf("%q is parsed as %q", b, again)
 		}
 	})
