--- a/cmd/drill/main.go
+++ b/cmd/drill/main.go
@@ -11,7 +11,7 @@
 	"time"
 
 	"umberladder/balance"
-	"umberladder/internal/wire"
+	"umberladder/internal/simwire"
 )
 
 func main() {
@@ -38,10 +38,10 @@
 }
 
 func serve(in io.Reader, out io.Writer) error {
-	dec := wire.NewDecoder(bufio.NewReaderSize(in, 1<<16))
+	dec := simwire.NewDecoder(bufio.NewReaderSize(in, 1<<16))
 	w := bufio.NewWriterSize(out, 1<<16)
 	h := &host{instances: map[uint32]*instance{}}
-	var enc wire.Encoder
+	var enc simwire.Encoder
 	for {
 		now, inputs, err := dec.Next()
 		if errors.Is(err, io.EOF) {
@@ -65,7 +65,7 @@
 }
 
 // deliver assigns each input of a batch to its instance, in order, and starts and stops routers.
-func (h *host) deliver(inputs []wire.Input) error {
+func (h *host) deliver(inputs []simwire.Input) error {
 	h.active = h.active[:0]
 	for i := range inputs {
 		in := &inputs[i]
@@ -95,7 +95,7 @@
 }
 
 // step runs one step of each active instance and encodes its actions. An instance that faults is stopped.
-func (h *host) step(now time.Duration, enc *wire.Encoder) {
+func (h *host) step(now time.Duration, enc *simwire.Encoder) {
 	for _, inst := range h.active {
 		inst.pending = false
 		if inst.router != nil {
--- a/explore/trace.go
+++ b/explore/trace.go
@@ -6,7 +6,7 @@
 	"strconv"
 	"strings"
 
-	"umberladder/internal/lines"
+	"umberladder/internal/conffile"
 )
 
 // FormatTrace returns a violation as the text of a trace file (*.story): the Config as directives in the syntax of a settings
@@ -29,7 +29,7 @@
 	if err != nil {
 		return cfg, nil, fmt.Errorf("trace file: %w", err)
 	}
-	p := lines.NewParser(path, string(text))
+	p := conffile.NewParser(path, string(text))
 	counts := map[string]*int{"clients": &cfg.Clients, "nodes": &cfg.Nodes, "resets": &cfg.Resets, "drains": &cfg.Drains, "crashes": &cfg.Crashes, "zombies": &cfg.StalePrimaries, "leaves": &cfg.Disconnects}
 	for _, d := range p.Tree() {
 		switch name := d.Name.Text; {
@@ -48,7 +48,7 @@
 		}
 	}
 	if len(cfg.Script) == 0 || cfg.Nodes == 0 || cfg.Clients == 0 {
-		p.AddProblem(lines.Word{Line: 1, Column: 1}, "a trace file needs clients, nodes and a script")
+		p.AddProblem(conffile.Word{Line: 1, Column: 1}, "a trace file needs clients, nodes and a script")
 	}
 	return cfg, events, p.Err()
 }
--- a/internal/lines/lines.go
+++ b/internal/conffile/conffile.go
@@ -1,7 +1,7 @@
-// Package lines parses configuration files made of directives: one directive per line, with its arguments or with a block of
+// Package conffile parses configuration files made of directives: one directive per line, with its arguments or with a block of
 // directives in braces. NewParser takes the text of a file; Tree returns its directives and Err every problem, each with file,
 // line and column. Packages settings, load, lab/experiment and explore read their files with it.
-package lines
+package conffile
 
 import (
 	"cmp"
@@ -11,7 +11,7 @@
 	"strings"
 	"unicode/utf8"
 
-	"umberladder/internal/words"
+	"umberladder/internal/spelling"
 )
 
 // NewParser returns a parser of text. Problems carry the name file. Text that is not UTF-8 or contains a NUL byte has one
@@ -41,7 +41,7 @@
 
 // UnknownDirective records the problem that w names no directive in known, and suggests the nearest one.
 func (p *Parser) UnknownDirective(w Word, known []string) {
-	if n := words.Nearest(w.Text, known, 1+len(w.Text)/3); n != "" {
+	if n := spelling.Nearest(w.Text, known, 1+len(w.Text)/3); n != "" {
 		p.AddProblem(w, "unknown directive %q; did you mean %q?", w.Text, n)
 		return
 	}
--- a/internal/waiting/waiting.go
+++ b/internal/pending/pending.go
@@ -1,5 +1,5 @@
-// Package waiting maps requests to those who wait for their answers. Request handlers add entries, the event loop answers.
-package waiting
+// Package pending maps requests to those who wait for their answers. Request handlers add entries, the event loop answers.
+package pending
 
 import (
 	"sync"
--- a/internal/wire/wire.go
+++ b/internal/simwire/simwire.go
@@ -1,6 +1,6 @@
-// Package wire decodes the simulator's binary frames into events of package balance, and encodes its actions
+// Package simwire decodes the simulator's binary frames into events of package balance, and encodes its actions
 // into frames. It also parses the start settings. It makes no decisions of its own.
-package wire
+package simwire
 
 import (
 	"encoding/binary"
--- a/internal/words/words.go
+++ b/internal/spelling/spelling.go
@@ -1,6 +1,6 @@
-// Package words suggests corrections of misspelled words. Nearest takes a word and the list of known words and returns the one
+// Package spelling suggests corrections of misspelled words. Nearest takes a word and the list of known words and returns the one
 // at the smallest edit distance. The parsers of settings and inventories call it for their "did you mean" messages.
-package words
+package spelling
 
 import "strings"
 
--- a/internal/words/words_test.go
+++ b/internal/spelling/spelling_test.go
@@ -1,4 +1,4 @@
-package words
+package spelling
 
 import "testing"
 
--- a/inventory/inventory.go
+++ b/inventory/inventory.go
@@ -12,7 +12,7 @@
 	"strings"
 	"time"
 
-	"umberladder/internal/words"
+	"umberladder/internal/spelling"
 )
 
 // State is the state of a node as listed.
@@ -303,7 +303,7 @@
 	return ""
 }
 
-func nearest(text string, known []string) string { return words.Nearest(text, known, 2) }
+func nearest(text string, known []string) string { return spelling.Nearest(text, known, 2) }
 
 // misspelled reports whether text is at most two edits away from a known word.
 func misspelled(text string, known []string) bool { return nearest(text, known) != "" }
--- a/lab/chain.go
+++ b/lab/chain.go
@@ -18,9 +18,9 @@
 	"google.golang.org/grpc/status"
 	"google.golang.org/protobuf/types/known/durationpb"
 
-	"umberladder/carry"
 	"umberladder/causalcache"
 	"umberladder/position"
+	"umberladder/propagation"
 	pb "umberladder/proto/umberladder/v1"
 	"umberladder/standin"
 	"umberladder/token"
@@ -157,10 +157,10 @@
 		return err
 	}
 	base := &http.Transport{MaxIdleConnsPerHost: 100}
-	c.http = &http.Client{Transport: &carry.Transport{Base: &lossyTransport{chain: c, base: base}}, Timeout: 10 * time.Second}
-	c.comments = httptest.NewServer(carry.Handler(http.HandlerFunc(c.commentService), false))
-	c.cache = httptest.NewServer(carry.Handler(http.HandlerFunc(c.pageCache), false))
-	c.web = httptest.NewServer(carry.Handler(http.HandlerFunc(c.webTier), true))
+	c.http = &http.Client{Transport: &propagation.Transport{Base: &lossyTransport{chain: c, base: base}}, Timeout: 10 * time.Second}
+	c.comments = httptest.NewServer(propagation.Handler(http.HandlerFunc(c.commentService), false))
+	c.cache = httptest.NewServer(propagation.Handler(http.HandlerFunc(c.pageCache), false))
+	c.web = httptest.NewServer(propagation.Handler(http.HandlerFunc(c.webTier), true))
 	return nil
 }
 
@@ -176,9 +176,9 @@
 
 func (l *lossyTransport) RoundTrip(r *http.Request) (*http.Response, error) {
 	path := rand.IntN(3) == 0 && rand.IntN(1000) < int(l.chain.dropRate.Load())
-	if path && r.Header.Get(carry.Header) != "" {
+	if path && r.Header.Get(propagation.Header) != "" {
 		r = r.Clone(r.Context())
-		r.Header.Del(carry.Header)
+		r.Header.Del(propagation.Header)
 		r.Header.Del("Baggage")
 		l.chain.dropped.Add(1)
 	} else {
@@ -196,7 +196,7 @@
 
 // commentService executes the statement at a driver, with the collected tokens.
 func (c *chain) commentService(w http.ResponseWriter, r *http.Request) {
-	col := carry.FromContext(r.Context())
+	col := propagation.FromContext(r.Context())
 	carried := col.Tokens()
 	tag := fmt.Sprintf("c%d", c.seq.Add(1))
 	slice, thread := r.FormValue("slice"), r.FormValue("thread")
@@ -281,11 +281,11 @@
 // pageCache caches pages under causal rules. One answer in 50 is wrong on purpose: an old page with the token of
 // the current one.
 func (c *chain) pageCache(w http.ResponseWriter, r *http.Request) {
-	col := carry.FromContext(r.Context())
+	col := propagation.FromContext(r.Context())
 	q := url.Values{"slice": {r.FormValue("slice")}, "thread": {r.FormValue("thread")}}
 	key := causalcache.Key{Name: q.Encode(), Slice: r.FormValue("slice")}
 	fetch := func(ctx context.Context, seen token.Set) (causalcache.Entry[page], error) {
-		ctx, own := carry.NewContext(ctx, seen.Texts()...)
+		ctx, own := propagation.NewContext(ctx, seen.Texts()...)
 		p, res, err := c.call(ctx, http.MethodGet, c.comments.URL, q)
 		if res != nil {
 			p.Dropped = res.Header.Get(dropMark) != ""
@@ -335,7 +335,7 @@
 // webTier serves browsers. It checks whether the page itself covers what its reader has seen, whatever the header
 // says, and bypasses the cache if not.
 func (c *chain) webTier(w http.ResponseWriter, r *http.Request) {
-	col := carry.FromContext(r.Context())
+	col := propagation.FromContext(r.Context())
 	slice := r.FormValue("slice")
 	seen, _ := col.Tokens().JoinUnverified()
 	q := url.Values{"slice": {slice}, "thread": {r.FormValue("thread")}}
@@ -400,7 +400,7 @@
 func (r *reader) do(ctx context.Context, method string, g *standin.Group, thread string, bag token.Set) (page, *http.Response, error) {
 	req, _ := http.NewRequestWithContext(context.WithoutCancel(ctx), method, r.chain.web.URL+"/?"+url.Values{"slice": {g.Name}, "thread": {thread}}.Encode(), nil)
 	if !bag.IsEmpty() {
-		req.AddCookie(&http.Cookie{Name: carry.Cookie, Value: bag.String()})
+		req.AddCookie(&http.Cookie{Name: propagation.Cookie, Value: bag.String()})
 	}
 	res, err := r.chain.browser().Do(req)
 	if err != nil {
@@ -413,7 +413,7 @@
 		return p, res, fmt.Errorf("%s", text)
 	}
 	for _, ck := range res.Cookies() {
-		if ck.Name == carry.Cookie {
+		if ck.Name == propagation.Cookie {
 			r.bag = r.bag.Replace(bag, "").Absorb(token.ParseSet(ck.Value)) // as a browser's cookie jar does: the answer includes what the request sent
 		}
 	}
--- a/lab/client.go
+++ b/lab/client.go
@@ -17,8 +17,8 @@
 	"google.golang.org/protobuf/types/known/durationpb"
 
 	"umberladder/balance"
-	"umberladder/carry"
 	"umberladder/position"
+	"umberladder/propagation"
 	pb "umberladder/proto/umberladder/v1"
 	"umberladder/token"
 )
@@ -189,7 +189,7 @@
 	callCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), remaining+extraWait)
 	defer cancel()
 	if s.clientName != "" {
-		callCtx = metadata.AppendToOutgoingContext(callCtx, carry.ClientKey, s.clientName)
+		callCtx = metadata.AppendToOutgoingContext(callCtx, propagation.ClientKey, s.clientName)
 	}
 	if cancelAfter > 0 {
 		// A cancel rather than a deadline, which gRPC would send to the driver in advance.
--- a/lab/experiment/class.go
+++ b/lab/experiment/class.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"umberladder/balance"
-	"umberladder/internal/lines"
+	"umberladder/internal/conffile"
 )
 
 // class is a request class of the file and its share of the requests.
@@ -22,7 +22,7 @@
 )
 
 // parseClass parses a class block. The classes of a file replace the default ones of world.Newsroom.
-func (p *fileParser) parseClass(s *setup, d lines.Directive) {
+func (p *fileParser) parseClass(s *setup, d conffile.Directive) {
 	if len(d.Args) != 1 || !d.HasBlock {
 		p.AddProblem(d.Name, "class needs a name and a block")
 		return
@@ -49,7 +49,7 @@
 	s.classes = append(s.classes[:len(s.classes):len(s.classes)], c)
 }
 
-func (p *fileParser) parseClassDirective(c *class, line lines.Directive) {
+func (p *fileParser) parseClassDirective(c *class, line conffile.Directive) {
 	if line.Name.Text == "need" && len(line.Args) == 2 && line.Args[0].Text == "bounded" {
 		c.Need = balance.NeedBounded
 		p.parseDuration(line.Args[1], &c.Bound)
@@ -88,7 +88,7 @@
 }
 
 // parsePercent parses a share from 0% to 100% and returns it as a fraction.
-func (p *fileParser) parsePercent(w lines.Word) float64 {
+func (p *fileParser) parsePercent(w conffile.Word) float64 {
 	v, err := strconv.ParseFloat(strings.TrimSuffix(w.Text, "%"), 64)
 	if err != nil || !strings.HasSuffix(w.Text, "%") || v < 0 || v > 100 {
 		p.AddProblem(w, "%q is not a share; want 0%% to 100%%, with the percent sign", w.Text)
--- a/lab/experiment/file.go
+++ b/lab/experiment/file.go
@@ -15,7 +15,7 @@
 	"strings"
 	"time"
 
-	"umberladder/internal/lines"
+	"umberladder/internal/conffile"
 	"umberladder/lab/record"
 	"umberladder/lab/world"
 )
@@ -103,14 +103,14 @@
 func Parse(file, text string) (*Experiment, error) { return parseAs(file, text, false) }
 
 func parseAs(file, text string, grid bool) (*Experiment, error) {
-	p := &fileParser{Parser: lines.NewParser(file, text), file: file, x: &Experiment{Name: file, Repeats: 5, Text: text}, base: defaults(), seen: map[string]bool{}}
+	p := &fileParser{Parser: conffile.NewParser(file, text), file: file, x: &Experiment{Name: file, Repeats: 5, Text: text}, base: defaults(), seen: map[string]bool{}}
 	tree := p.Tree()
 	for _, d := range tree {
 		if d.Name.Text != "arm" && d.Name.Text != "vary" {
 			p.parseTopLevel(d)
 		}
 	}
-	var varies []lines.Directive
+	var varies []conffile.Directive
 	for _, d := range tree { // arms come last, as the directives of the whole file apply to arms above them too
 		switch {
 		case d.Name.Text == "arm":
@@ -125,7 +125,7 @@
 		p.expandGrid(varies)
 	}
 	if len(p.x.Arms) == 0 {
-		p.addArm(lines.Word{Text: "as the file says", Line: 1, Column: 1}, p.base)
+		p.addArm(conffile.Word{Text: "as the file says", Line: 1, Column: 1}, p.base)
 	}
 	if err := p.Err(); err != nil {
 		return nil, err
@@ -134,15 +134,15 @@
 }
 
 type fileParser struct {
-	*lines.Parser
+	*conffile.Parser
 	file         string
 	x            *Experiment
 	base         setup
 	seen         map[string]bool
-	troubleWords []lines.Word // the directives of the base's troubles, for messages
+	troubleWords []conffile.Word // the directives of the base's troubles, for messages
 }
 
-func (p *fileParser) parseTopLevel(d lines.Directive) {
+func (p *fileParser) parseTopLevel(d conffile.Directive) {
 	switch d.Name.Text {
 	case "experiment":
 		if w, ok := p.SingleArg(d); ok {
@@ -156,7 +156,7 @@
 }
 
 // parseDirective parses a directive that may be used at the top level and in an arm.
-func (p *fileParser) parseDirective(s *setup, d lines.Directive, seen map[string]bool) {
+func (p *fileParser) parseDirective(s *setup, d conffile.Directive, seen map[string]bool) {
 	name := d.Name.Text
 	if seen[name] && name != "trouble" && name != "class" {
 		p.AddProblem(d.Name, "%s is already set", name)
@@ -217,7 +217,7 @@
 }
 
 // parseArrivals loads a recording, whose requests are replayed in place of random arrivals.
-func (p *fileParser) parseArrivals(s *setup, d lines.Directive) {
+func (p *fileParser) parseArrivals(s *setup, d conffile.Directive) {
 	w, ok := p.SingleArg(d)
 	if !ok {
 		return
@@ -235,7 +235,7 @@
 	}
 }
 
-func (p *fileParser) parseDuration(w lines.Word, field *time.Duration) {
+func (p *fileParser) parseDuration(w conffile.Word, field *time.Duration) {
 	v, err := time.ParseDuration(w.Text)
 	if err != nil || v < 0 || v > time.Hour {
 		p.AddProblem(w, "%q is not a time from 0s to 1h; want one like 500ms or 30s", w.Text)
@@ -247,7 +247,7 @@
 var troubleDirectives = []string{"at", "for", "size", "slice", "member", "driver", "hall", "all"}
 
 // parseTrouble parses a trouble block.
-func (p *fileParser) parseTrouble(s *setup, d lines.Directive) {
+func (p *fileParser) parseTrouble(s *setup, d conffile.Directive) {
 	if len(d.Args) != 1 || !d.HasBlock {
 		p.AddProblem(d.Name, "trouble needs a kind and a block; kinds: %s", strings.Join(world.TroubleNames(), ", "))
 		return
@@ -282,7 +282,7 @@
 	s.troubles = append(slices.Clone(s.troubles), t)
 }
 
-func (p *fileParser) parseTroubleDirective(t *world.Trouble, name, w lines.Word) {
+func (p *fileParser) parseTroubleDirective(t *world.Trouble, name, w conffile.Word) {
 	const maxIndex = 1 << 20
 	switch name.Text {
 	case "at":
@@ -317,7 +317,7 @@
 }
 
 // parseArm adds an arm: the parameters of the file with the changes of the block.
-func (p *fileParser) parseArm(d lines.Directive) {
+func (p *fileParser) parseArm(d conffile.Directive) {
 	if len(d.Args) != 1 || !d.HasBlock {
 		p.AddProblem(d.Name, "arm needs a name and a block, which may be empty")
 		return
@@ -330,18 +330,18 @@
 }
 
 // expandVary adds an arm for each value of a directive.
-func (p *fileParser) expandVary(d lines.Directive) {
+func (p *fileParser) expandVary(d conffile.Directive) {
 	if !p.checkVary(d) {
 		return
 	}
 	for _, w := range d.Args[1:] {
 		s := p.base
-		p.parseDirective(&s, lines.Directive{Name: d.Args[0], Args: []lines.Word{w}}, map[string]bool{})
-		p.addArm(lines.Word{Text: d.Args[0].Text + " " + w.Text, Line: w.Line, Column: w.Column}, s)
+		p.parseDirective(&s, conffile.Directive{Name: d.Args[0], Args: []conffile.Word{w}}, map[string]bool{})
+		p.addArm(conffile.Word{Text: d.Args[0].Text + " " + w.Text, Line: w.Line, Column: w.Column}, s)
 	}
 }
 
-func (p *fileParser) checkVary(d lines.Directive) bool {
+func (p *fileParser) checkVary(d conffile.Directive) bool {
 	if len(d.Args) < 2 || d.HasBlock {
 		p.AddProblem(d.Name, "vary needs a directive and its values, as in: vary drivers 3 10 50")
 		return false
@@ -350,7 +350,7 @@
 }
 
 // addArm checks the parameters of an arm against each other and adds the arm.
-func (p *fileParser) addArm(name lines.Word, s setup) {
+func (p *fileParser) addArm(name conffile.Word, s setup) {
 	for _, a := range p.x.Arms {
 		if a.Name == name.Text {
 			p.AddProblem(name, "arm %q is defined twice", name.Text)
--- a/lab/experiment/sweep.go
+++ b/lab/experiment/sweep.go
@@ -13,7 +13,7 @@
 	"github.com/fxamacker/cbor/v2"
 	"golang.org/x/sync/errgroup"
 
-	"umberladder/internal/lines"
+	"umberladder/internal/conffile"
 )
 
 // ReadGrid reads an experiment file like Read, but makes one arm for each combination of the values of all vary lines.
@@ -29,7 +29,7 @@
 const maxArms = 10_000
 
 // expandGrid adds an arm for each combination of the values of several directives.
-func (p *fileParser) expandGrid(varies []lines.Directive) {
+func (p *fileParser) expandGrid(varies []conffile.Directive) {
 	type arm struct {
 		name string
 		s    setup
@@ -43,7 +43,7 @@
 		for _, a := range arms {
 			for _, w := range d.Args[1:] {
 				s := a.s
-				p.parseDirective(&s, lines.Directive{Name: d.Args[0], Args: []lines.Word{w}}, map[string]bool{})
+				p.parseDirective(&s, conffile.Directive{Name: d.Args[0], Args: []conffile.Word{w}}, map[string]bool{})
 				name := d.Args[0].Text + " " + w.Text
 				if a.name != "" {
 					name = a.name + ", " + name
@@ -57,7 +57,7 @@
 		}
 	}
 	for _, a := range arms {
-		p.addArm(lines.Word{Text: a.name, Line: varies[0].Name.Line, Column: varies[0].Name.Column}, a.s)
+		p.addArm(conffile.Word{Text: a.name, Line: varies[0].Name.Line, Column: varies[0].Name.Column}, a.s)
 	}
 }
 
--- a/load/goal.go
+++ b/load/goal.go
@@ -7,7 +7,7 @@
 	"strings"
 	"time"
 
-	"umberladder/internal/lines"
+	"umberladder/internal/conffile"
 )
 
 // All is the name for all classes together in goals and results.
@@ -62,7 +62,7 @@
 	return g, err
 }
 
-func (b *binder) goal(w lines.Word) {
+func (b *binder) goal(w conffile.Word) {
 	g, err := ParseGoal(w.Text)
 	if err != nil {
 		b.AddProblem(w, "require: %v", err)
--- a/load/plan.go
+++ b/load/plan.go
@@ -14,7 +14,7 @@
 	"strings"
 	"time"
 
-	"umberladder/internal/lines"
+	"umberladder/internal/conffile"
 )
 
 // Plan describes the requests of a run and its goals.
@@ -101,7 +101,7 @@
 // Parse parses a plan in the syntax of settings files; file is its name in errors. The error lists every mistake with file,
 // line and column. The plan may lack drivers and slices; see Plan.Check.
 func Parse(file, text string) (*Plan, error) {
-	b := &binder{Parser: lines.NewParser(file, text), plan: Defaults(), seen: map[string]bool{}}
+	b := &binder{Parser: conffile.NewParser(file, text), plan: Defaults(), seen: map[string]bool{}}
 	for _, d := range b.Tree() {
 		b.topLevel(d)
 	}
@@ -115,14 +115,14 @@
 }
 
 type binder struct {
-	*lines.Parser
+	*conffile.Parser
 	plan *Plan
 	seen map[string]bool
 }
 
 var planDirectives = []string{"driver", "slice", "rate", "callers", "shape", "for", "warm-up", "sessions", "keys", "connections", "most-open", "client", "seed", "class", "require"}
 
-func (b *binder) topLevel(d lines.Directive) {
+func (b *binder) topLevel(d conffile.Directive) {
 	p, name := b.plan, d.Name.Text
 	if b.seen[name] && name != "class" && name != "require" {
 		b.AddProblem(d.Name, "%s is set twice", name)
@@ -179,7 +179,7 @@
 	}
 }
 
-func (b *binder) values(d lines.Directive) []lines.Word {
+func (b *binder) values(d conffile.Directive) []conffile.Word {
 	if len(d.Args) == 0 || d.HasBlock {
 		b.AddProblem(d.Name, "%s takes one or more values", d.Name.Text)
 		return nil
@@ -187,13 +187,13 @@
 	return d.Args
 }
 
-func (b *binder) durationArg(d lines.Directive, target *time.Duration, least time.Duration) {
+func (b *binder) durationArg(d conffile.Directive, target *time.Duration, least time.Duration) {
 	if w, ok := b.SingleArg(d); ok {
 		b.duration(w, target, least)
 	}
 }
 
-func (b *binder) duration(w lines.Word, target *time.Duration, least time.Duration) {
+func (b *binder) duration(w conffile.Word, target *time.Duration, least time.Duration) {
 	v, err := time.ParseDuration(w.Text)
 	if err != nil || v < least {
 		b.AddProblem(w, "%q is not a duration of at least %v; write one like 500ms or 30s", w.Text, least)
@@ -203,7 +203,7 @@
 }
 
 // shape reads "steady", "ramp TIMES", "burst TIMES PERIOD PART%" or "wave TIMES PERIOD".
-func (b *binder) shape(d lines.Directive) {
+func (b *binder) shape(d conffile.Directive) {
 	if len(d.Args) == 0 {
 		b.AddProblem(d.Name, "shape takes steady, ramp, burst or wave")
 		return
@@ -249,7 +249,7 @@
 
 var classDirectives = []string{"share", "statement", "parameter", "timeout", "stream", "keyed"}
 
-func (b *binder) class(d lines.Directive) {
+func (b *binder) class(d conffile.Directive) {
 	if len(d.Args) != 1 || !d.HasBlock {
 		b.AddProblem(d.Name, "class takes a name and a block")
 		return
@@ -292,7 +292,7 @@
 	b.plan.Classes = append(b.plan.Classes, c)
 }
 
-func (b *binder) parameter(c *Class, d lines.Directive) {
+func (b *binder) parameter(c *Class, d conffile.Directive) {
 	if len(d.Args) == 0 || len(d.Args) > 2 || d.HasBlock {
 		b.AddProblem(d.Name, "parameter is one of: key; mark; text VALUE; int N")
 		return
@@ -323,7 +323,7 @@
 
 // checkPlan checks the plan as a whole. Drivers and slices may be added later, from the command line.
 func (b *binder) checkPlan() {
-	p, end := b.plan, lines.Word{Line: b.LineCount(), Column: 1}
+	p, end := b.plan, conffile.Word{Line: b.LineCount(), Column: 1}
 	sum := 0.0
 	for _, c := range p.Classes {
 		sum += c.Share
--- a/load/run.go
+++ b/load/run.go
@@ -21,7 +21,7 @@
 	"google.golang.org/grpc/status"
 	"google.golang.org/protobuf/types/known/durationpb"
 
-	"umberladder/carry"
+	"umberladder/propagation"
 	pb "umberladder/proto/umberladder/v1"
 )
 
@@ -215,7 +215,7 @@
 	ctx, cancel := context.WithDeadline(ctx, due.Add(limit))
 	defer cancel()
 	if r.plan.Client != "" {
-		ctx = metadata.AppendToOutgoingContext(ctx, carry.ClientKey, r.plan.Client)
+		ctx = metadata.AppendToOutgoingContext(ctx, propagation.ClientKey, r.plan.Client)
 	}
 	token, err := execute(ctx, client, req, c.Stream)
 	if err == nil {
--- a/carry/http.go
+++ b/propagation/http.go
@@ -1,4 +1,4 @@
-package carry
+package propagation
 
 import (
 	"net/http"
--- a/carry/carry.go
+++ b/propagation/propagation.go
@@ -1,11 +1,11 @@
-// Package carry propagates causal tokens through services over gRPC metadata, HTTP headers, cookies and W3C baggage,
+// Package propagation propagates causal tokens through services over gRPC metadata, HTTP headers, cookies and W3C baggage,
 // and retries calls that a driver refused. In go the tokens of the request that a service serves and of the answers to
 // the calls that it makes; out goes their union, with every call made afterwards and with the service's own answer.
 // Authors of services install its gRPC interceptors, HTTP handler and HTTP transport, and pass on the request's context.
 //
 // It needs no keys and verifies no signature. A token that a caller sent is kept until an answer covers it, and a token
 // that cannot be parsed counts as lost, not as absent.
-package carry
+package propagation
 
 import (
 	"context"
--- a/server/admit.go
+++ b/server/admit.go
@@ -13,8 +13,8 @@
 	"google.golang.org/protobuf/proto"
 
 	"umberladder/admission"
-	"umberladder/carry"
 	"umberladder/driver"
+	"umberladder/propagation"
 	pb "umberladder/proto/umberladder/v1"
 	"umberladder/settings"
 )
@@ -57,7 +57,7 @@
 	if v.NoRetry {
 		pushback = "-1"
 	}
-	grpc.SetTrailer(ctx, metadata.Pairs(carry.PushbackKey, pushback)) // an error means that the call has ended
+	grpc.SetTrailer(ctx, metadata.Pairs(propagation.PushbackKey, pushback)) // an error means that the call has ended
 	return nil, &driver.Answer{Status: driver.Refused, Cause: causes[v.Reason], RetryAfter: v.RetryAfter}
 }
 
@@ -112,7 +112,7 @@
 		}
 	}
 	if md, ok := metadata.FromIncomingContext(ctx); ok {
-		if names := md.Get(carry.ClientKey); len(names) > 0 && len(names[0]) <= maxClientName {
+		if names := md.Get(propagation.ClientKey); len(names) > 0 && len(names[0]) <= maxClientName {
 			return host + "/" + names[0]
 		}
 	}
@@ -127,7 +127,7 @@
 func attemptOf(ctx context.Context) int {
 	md, _ := metadata.FromIncomingContext(ctx)
 	highest := 0
-	for _, key := range []string{carry.AttemptKey, "grpc-previous-rpc-attempts"} {
+	for _, key := range []string{propagation.AttemptKey, "grpc-previous-rpc-attempts"} {
 		for _, v := range md.Get(key) {
 			if n, err := strconv.Atoi(v); err == nil {
 				highest = max(highest, n)
--- a/server/calls.go
+++ b/server/calls.go
@@ -4,7 +4,7 @@
 	"context"
 
 	"umberladder/driver"
-	"umberladder/internal/waiting"
+	"umberladder/internal/pending"
 	pb "umberladder/proto/umberladder/v1"
 )
 
@@ -35,7 +35,7 @@
 }
 
 // callTable maps requests to pending calls. Handlers add calls, the loop answers them.
-type callTable struct{ waiting.Table[*call] }
+type callTable struct{ pending.Table[*call] }
 
 // answer delivers the final answer. It does not block, as each call has buffered channels.
 func (t *callTable) answer(id driver.RequestID, a driver.Answer) {
--- a/server/server_test.go
+++ b/server/server_test.go
@@ -23,10 +23,10 @@
 	"google.golang.org/grpc/metadata"
 	"google.golang.org/grpc/status"
 
-	"umberladder/carry"
 	"umberladder/lab"
 	"umberladder/pgwire"
 	"umberladder/position"
+	"umberladder/propagation"
 	pb "umberladder/proto/umberladder/v1"
 	"umberladder/server"
 	"umberladder/settings"
@@ -484,7 +484,7 @@
 	f := newFleet(t, lab.Spec{Node: node, Extra: "admission {\n    start 16\n}\n"})
 	must(t, f, writeReq("a", "one"))
 	call := func(client string) error {
-		ctx, cancel := context.WithTimeout(metadata.AppendToOutgoingContext(t.Context(), carry.ClientKey, client), 5*time.Second)
+		ctx, cancel := context.WithTimeout(metadata.AppendToOutgoingContext(t.Context(), propagation.ClientKey, client), 5*time.Second)
 		defer cancel()
 		_, err := f.Drivers[0].Client().Execute(ctx, readReq("article-read", "a", ""))
 		return err
--- a/settings/bind.go
+++ b/settings/bind.go
@@ -8,11 +8,11 @@
 	"time"
 
 	"umberladder/balance"
-	"umberladder/internal/lines"
+	"umberladder/internal/conffile"
 )
 
 // bind builds Settings from directives, over the defaults, and records every problem in p.
-func bind(p *lines.Parser, tree []directive) *Settings {
+func bind(p *conffile.Parser, tree []directive) *Settings {
 	s := Defaults()
 	b := &binder{Parser: p, s: s, seen: map[string]word{}}
 	for _, d := range tree {
@@ -23,7 +23,7 @@
 }
 
 type binder struct {
-	*lines.Parser
+	*conffile.Parser
 	s           *Settings
 	seen        map[string]word // name of each single-value directive set so far, by its full name such as "drain grace"
 	classes     []word
--- a/settings/parse.go
+++ b/settings/parse.go
@@ -16,19 +16,19 @@
 	"fmt"
 	"os"
 
-	"umberladder/internal/lines"
-	"umberladder/internal/words"
+	"umberladder/internal/conffile"
+	"umberladder/internal/spelling"
 )
 
 // Problem is one mistake in a settings file, with its position.
-type Problem = lines.Problem
+type Problem = conffile.Problem
 
 // Problems lists every mistake of a file, sorted by line and column.
-type Problems = lines.Problems
+type Problems = conffile.Problems
 
 type (
-	word      = lines.Word
-	directive = lines.Directive
+	word      = conffile.Word
+	directive = conffile.Directive
 )
 
 // Read reads and checks the settings file at path. The error is Problems, or wraps that of os.ReadFile.
@@ -42,7 +42,7 @@
 
 // Parse parses and checks the text of a settings file. Problems carry the name file. The error, if any, is Problems.
 func Parse(file, text string) (*Settings, error) {
-	p := lines.NewParser(file, text)
+	p := conffile.NewParser(file, text)
 	tree := p.Tree()
 	if err := p.Err(); err != nil && len(tree) == 0 {
 		return nil, err
@@ -61,4 +61,4 @@
 }
 
 // nearest returns the known name most similar to name, or "" if none is similar.
-func nearest(name string, known []string) string { return words.Nearest(name, known, 1+len(name)/3) }
+func nearest(name string, known []string) string { return spelling.Nearest(name, known, 1+len(name)/3) }
