--- a/explore/explore.go
+++ b/explore/explore.go
@@ -42,14 +42,14 @@
 // Report is the result of an exploration.
 type Report struct {
 	Config               Config
-	States               int // distinct ones
+	States               int // distinct states
 	Transitions          int
 	Depth                int   // up to which every order of events was explored
 	Complete             bool  // no new state was left to explore
 	Endings              int   // states that were settled
 	ByDepth              []int // new states at each depth
 	Elapsed              time.Duration
-	Seen                 []string // kinds of commands, answers and guard refusals that occurred, sorted
+	Seen                 []string // kinds of commands, statuses of answers and guard refusals that occurred, sorted
 	LifecycleTransitions int      // distinct transitions of connections and attempts that occurred
 	Violations           []Violation
 }
@@ -58,7 +58,7 @@
 type Options struct {
 	Procs          int           // states expanded at once
 	MaxStates      int           // ends the exploration after the level that reaches it; 0 for no bound
-	EndingInterval int           // one state in so many is settled; 0 for each
+	EndingInterval int           // one state in this many is settled; 0 or 1 for every state
 	TimeLimit      time.Duration // ends the exploration after the level that exceeds it; 0 for no bound
 }
 
@@ -137,7 +137,7 @@
 	for _, n := range events {
 		all := w.enabled()
 		if int(n) >= len(all) {
-			return nil, fmt.Errorf("explore: replay of a path diverged: event %d of %d enabled ones", n, len(all))
+			return nil, fmt.Errorf("explore: replay of a path diverged: its next event has index %d, but only %d events are enabled", n, len(all))
 		}
 		all[n].apply()
 	}
@@ -191,8 +191,8 @@
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	if len(x.lifecycleTransitions) < len(driver.LegalTransitions()) {
-		for move := range w.engine.TransitionCounts() {
-			x.lifecycleTransitions[move] = true
+		for transition := range w.engine.TransitionCounts() {
+			x.lifecycleTransitions[transition] = true
 		}
 	}
 	if len(w.broken) == 0 {
@@ -231,8 +231,9 @@
 	}{w.engine, w.nodes, w.conns, w.clients, w.reqs, w.faults, w.drained}, w.now)
 }
 
-// Replay plays events by their names and writes each one to out with the engine's commands and the violations it causes. It
-// returns the violations, or an error if an event is not possible at its point of the sequence.
+// Replay plays events by their names and writes each one to out with the engine's commands and the violations that it
+// causes. If no event causes a violation, Replay then settles the state. It returns the violations, or an error if an event
+// is not possible at its point of the sequence.
 func Replay(out io.Writer, cfg Config, events []string) (broken []string, err error) {
 	w, err := New(cfg)
 	if err != nil {
--- a/explore/explore_test.go
+++ b/explore/explore_test.go
@@ -31,7 +31,7 @@
 		}
 	}
 	if r.LifecycleTransitions < len(driver.LegalTransitions())-2 {
-		t.Errorf("%d of %d moves were made", r.LifecycleTransitions, len(driver.LegalTransitions()))
+		t.Errorf("%d of %d kinds of transitions occurred", r.LifecycleTransitions, len(driver.LegalTransitions()))
 	}
 	cfg.Depth = 4
 	one, err := Run(context.Background(), cfg, Options{Procs: 1, EndingInterval: 50}, nil)
@@ -61,7 +61,8 @@
 	}
 }
 
-// TestRecordedTraces replays violations that the explorer found in earlier versions of the engine; all properties must hold.
+// TestRecordedTraces replays violations that the explorer found in earlier versions of the engine. All properties must
+// hold.
 func TestRecordedTraces(t *testing.T) {
 	files, _ := filepath.Glob("testdata/*.story")
 	if len(files) < 2 {
--- a/explore/model.go
+++ b/explore/model.go
@@ -21,7 +21,7 @@
 
 const ms = time.Millisecond
 
-// Config describes the modelled cluster, its clients and the faults that may occur.
+// Config describes the modeled cluster, its clients and the faults that may occur.
 type Config struct {
 	Clients        int      // client i makes the requests of Script[i%len(Script)] in sequence
 	Nodes          int      // nodes of the only slice; the first one is primary
@@ -57,7 +57,8 @@
 			ColdOverloadMultiple: 3, ColdOverloadWindow: time.Second, Cancel: true, Probing: true, AttemptLimit: 10, RetryAfter: true, MaxRetryAfter: time.Second, DialTimeout: 250 * ms}}
 }
 
-// startTime is the engine's time at the start. It exceeds minTimestamp, so that the hash can tell times from durations.
+// startTime is the engine's time at the start. It exceeds minTimestamp, by which the hash distinguishes times from
+// durations.
 const startTime = 1000 * time.Hour
 
 // World is the engine under test and a model of its environment: nodes, connections and clients.
@@ -72,9 +73,9 @@
 	lastReq driver.RequestID
 	faults  faultCounts
 	drained map[string]time.Duration // time at which the driver was notified of each node's drain
-	log     []commit
+	log     []commit                 // writes that nodes have run, in order
 	broken  []string
-	trace   []string // readable commands of the last event
+	trace   []string // text of the commands of the last event
 	tracing bool     // whether trace is filled
 	seen    map[string]bool
 }
@@ -126,9 +127,9 @@
 	client       int
 	class        int
 	deadline     time.Duration
-	sends        int
-	inFlight     int // exchanges that may still run or whose reply is pending
-	runs         int
+	sends        int             // attempts sent to nodes
+	inFlight     int             // exchanges that may still run or whose reply is pending
+	runs         int             // times that nodes ran its write; a keyed write counts once
 	maybeRan     []time.Duration // send times of the attempts that may have run
 	answers      int
 	disconnected bool
@@ -229,7 +230,7 @@
 		}
 	case driver.CommandClose:
 		if x := w.pendingOn(c.Conn); x != nil && !x.ran && x.request != 0 {
-			w.endExchange(x) // the node sees the close before it runs the query; the other order is modelled as a reset
+			w.endExchange(x) // the node sees the close before it runs the query; the other order is modeled as a reset
 		}
 		delete(w.conns, c.Conn)
 	case driver.CommandAnswer:
@@ -379,13 +380,14 @@
 	c.next++
 	w.lastReq++
 	q := &request{client: i, class: class, deadline: w.now + classes()[class].Deadline}
-	ask := driver.RequestParams{Class: class, Slice: "s", Session: fmt.Sprint("client", i), Deadline: q.deadline, Token: c.token}
+	params := driver.RequestParams{Class: class, Slice: "s", Session: fmt.Sprint("client", i), Deadline: q.deadline, Token: c.token}
 	q.need, _ = c.token.Position("s")
 	w.reqs[w.lastReq], c.current = q, w.lastReq
-	w.step(driver.Event{Kind: driver.EventRequest, Request: w.lastReq, Params: ask})
+	w.step(driver.Event{Kind: driver.EventRequest, Request: w.lastReq, Params: params})
 }
 
-// promote makes the most advanced running replica primary of a new timeline. The other nodes of its timeline except old follow.
+// promote makes the most advanced running replica primary of a new timeline. The other nodes of its timeline follow it,
+// except old.
 func (w *World) promote(old *node) {
 	var next *node
 	for _, n := range w.nodes {
--- a/explore/properties.go
+++ b/explore/properties.go
@@ -37,7 +37,8 @@
 	w.broken = append(w.broken, property+": "+fmt.Sprintf(format, args...))
 }
 
-// checkTransitions checks the engine's state tables of connections and attempts, and its counts.
+// checkTransitions checks that the engine made no illegal transition of a connection or an attempt, and that its counts
+// are right.
 func (w *World) checkTransitions() {
 	if all := w.engine.IllegalTransitions(); len(all) > 0 {
 		w.violate(PropertyTransitions, "%s", all[0])
@@ -127,8 +128,8 @@
 	}
 }
 
-// checkServed checks that a served write ran, and that a session read reflects the session's last served write and its token.
-// Writes that a promotion discarded are exempt.
+// checkServed checks that a served write ran, and that a session read reflects the session's last served write and its
+// token. Writes that a promotion discarded are exempt.
 func (w *World) checkServed(c *driver.Command, q *request) {
 	if classes()[q.class].Need == balance.NeedWrite && q.runs == 0 {
 		w.violate(PropertyOneAnswer, "request %d is answered as served and never ran", c.Request)
@@ -155,7 +156,7 @@
 const settleTime = 5 * time.Second
 
 // settle runs a state to its end: pending events occur, no further fault does, and settleTime passes. Then it checks that
-// every request is answered and that the engine holds nothing for them.
+// every request of a connected client is answered and that the engine holds no request, pending query or extra connection.
 func (w *World) settle() {
 	for end := w.now + settleTime; w.now < end; {
 		moved := false
--- a/explore/trace.go
+++ b/explore/trace.go
@@ -9,8 +9,8 @@
 	"umberladder/internal/conffile"
 )
 
-// FormatTrace returns a violation as the text of a trace file (*.story): the Config as directives in the syntax of a settings
-// file, then one line per event.
+// FormatTrace returns a violation as the text of a trace file (*.story): the violation as a comment, the Config without its
+// Depth as directives in the syntax of a settings file, then one line per event.
 func FormatTrace(cfg Config, v Violation) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "# %s\nclients %d\nnodes %d\nresets %d\ndrains %d\ncrashes %d\nzombies %d\nleaves %d\n", v.Message, cfg.Clients, cfg.Nodes, cfg.Resets, cfg.Drains, cfg.Crashes, cfg.StalePrimaries, cfg.Disconnects)
--- a/explore/walk.go
+++ b/explore/walk.go
@@ -11,9 +11,9 @@
 )
 
 // Walk makes random walks of cfg.Depth events through state spaces that are too large to explore exhaustively. Each walk
-// weights kinds of events at random, some nearly to zero, so that rare events coincide. Walk stops at the first violation and
-// returns it, shortened by Shrink, or nil if there is none, with the number of events played. It calls progress, unless nil,
-// with the number of walks done; at most procs walks run at once. It returns ctx's error if ctx ends first.
+// weights kinds of events at random, some nearly to zero, so that rare events coincide. Walk stops at the first violation
+// and returns it, shortened by Shrink, or nil if there is none, with the number of events played. At most procs walks run
+// at once. Walk calls progress, unless nil, with the number of walks done, and returns ctx's error if ctx ends first.
 func Walk(ctx context.Context, cfg Config, seed uint64, walks, procs int, progress func(done int)) (*Violation, int, error) {
 	g, ctx := errgroup.WithContext(ctx)
 	g.SetLimit(max(1, procs))
