--- a/standin/catalog/client.go
+++ b/standin/catalog/client.go
@@ -36,9 +36,8 @@
 // ErrMalformed means that a message of a reply can't be parsed or violates the platform's protocol.
 var ErrMalformed = errors.New("malformed reply")
 
-// ReadReply blocks until it has read a reply up to ReadyForQuery. On an error of the connection it also returns the
-// messages read before it, for example the SQLSTATE of a refused connection. A message that can't be parsed gives
-// ErrMalformed.
+// ReadReply blocks until it has read a reply up to ReadyForQuery. On an error of the connection it also returns what it read
+// before, for example the SQLSTATE of a refused connection. An error or row that can't be parsed gives ErrMalformed.
 func ReadReply(r *pgwire.Reader) (reply Reply, err error) {
 	for {
 		typ, body, err := r.Next()
--- a/standin/catalog/member.go
+++ b/standin/catalog/member.go
@@ -75,7 +75,7 @@
 	return nil
 }
 
-// Address returns the member's current listen address, host:port.
+// Address returns the member's listen address, host:port. It changes with Restart.
 func (m *Member) Address() string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/standin/cluster.go
+++ b/standin/cluster.go
@@ -5,8 +5,8 @@
 // defaultSystemID is the system identifier of the cluster that groups simulate.
 const defaultSystemID = 7_000_000_000_000_000_001
 
-// SwitchCluster makes the node the primary of another cluster, with an empty log on the given timeline, as a machine that was
-// reused at the same address. Its connections are closed and it no longer follows the group.
+// SwitchCluster makes the node the primary of another cluster, with an empty log on the given timeline, as a machine that
+// was reused at the same address. Its connections are closed and it no longer follows the group.
 func (n *Node) SwitchCluster(system uint64, timeline uint32) {
 	n.mu.Lock()
 	for _, s := range n.conns {
@@ -21,8 +21,8 @@
 	n.applied, n.visible, n.hidden, n.active = 0, 0, nil, nil
 }
 
-// PromoteOnSameTimeline makes a replica act as a second primary on the current timeline, as one started without standby.signal. Its writes
-// go to a branch of its own.
+// PromoteOnSameTimeline makes a replica act as a second primary on the current timeline, as one started without
+// standby.signal. Its writes go to a branch of its own.
 func (g *Group) PromoteOnSameTimeline(n *Node) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -60,7 +60,7 @@
 	return defaultSystemID
 }
 
-// upstream returns the address of the primary from which the node receives its log, or "" if it receives none.
+// upstream returns the address of the primary from which the node receives its log, or "" if it receives no log.
 func (n *Node) upstream() string {
 	n.group.mu.Lock()
 	defer n.group.mu.Unlock()
--- a/standin/log.go
+++ b/standin/log.go
@@ -140,13 +140,13 @@
 	changed     *sync.Cond // signalled when the log, a member's state or a member's log position changes
 	nodes       []*Node
 	primary     *Node
-	branch      *branch // of the current primary
-	commits     []Commit
-	forkPoints  []position.Position // position at which each timeline begins, by timeline from 1
-	promoted    []time.Time
+	branch      *branch               // of the current primary
+	commits     []Commit              // all logged writes, on any timeline
+	forkPoints  []position.Position   // position at which each timeline begins, by timeline from 1
+	promoted    []time.Time           // times of the promotions
 	keyedWrites map[string]keyedWrite // by idempotency key, to discard repeats
 	nextXID     uint64                // id of the next transaction
-	dedupWindow time.Duration
+	dedupWindow time.Duration         // time for which repeats of a keyed write are discarded
 }
 
 type keyedWrite struct {
@@ -186,7 +186,8 @@
 }
 
 // Log returns the commits on the current timeline in log order, and the commits that are not part of it: a crash or a
-// promotion lost them, or a node logged them on a branch of its own. Commits are matched by value, so values must be unique.
+// promotion lost them, or a node logged them on a branch of its own. Commits are matched by value, so values must be
+// unique.
 func (g *Group) Log() (kept, lost []Commit) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/standin/node.go
+++ b/standin/node.go
@@ -13,7 +13,7 @@
 	"umberladder/position"
 )
 
-// Config is how a node behaves while no fault is injected.
+// Config describes the behavior of a node while no fault is injected.
 type Config struct {
 	Cores       int           // statements that run concurrently; at least 1
 	Read        time.Duration // core time of a read
@@ -31,10 +31,10 @@
 	// FlushDelay is the delay until a commit's record is flushed to disk and can be shipped to the replicas, while the commit
 	// is visible and answered immediately, as with synchronous_commit off. A crash loses records not yet flushed.
 	FlushDelay       time.Duration
-	RepeatableRead   bool          // transactions are repeatable read by default: one snapshot per transaction, not per statement
+	RepeatableRead   bool          // transactions are repeatable read by default: one snapshot each, not one per statement
 	MaxRead          time.Duration // reads take from Read to this, log-uniformly distributed; 0 for Read
-	LogSigma         float64       // standard deviation of the logarithm of core times, which are lognormal with means Read and Write; 0 for constant times
-	ParetoShape      float64       // shape of a Pareto distribution of core times, above 1, in place of the lognormal one; 0 for none
+	LogSigma         float64       // standard deviation of the logarithm of core times, lognormal with means Read and Write; 0: constant
+	ParetoShape      float64       // shape, above 1, of a Pareto distribution of core times instead of the lognormal one; 0 for none
 	ConnectTime      time.Duration // time to open a connection; connections are opened one at a time
 	StandbyHost      string        // host address of the node in its primary's pg_stat_replication; 127.0.0.1 if empty
 	ReportParameters bool          // the node also reports its facts by ParameterStatus, as with an extension
@@ -56,7 +56,7 @@
 	hidden         map[uint64]bool // by LSN: logged here but not yet visible
 	active         map[uint64]bool // transactions in progress on this node
 	replayPaused   bool
-	holdCommits    bool   // keep logged commits invisible
+	holdCommits    bool   // logged commits stay invisible and unanswered
 	actsAsPrimary  bool   // whether or not it is its group's primary
 	systemID       uint64 // system identifier of its cluster; 0 for defaultSystemID
 	running        bool
@@ -273,8 +273,8 @@
 	n.refusalCode = sqlstate
 }
 
-// DisconnectAfter makes the node close each connection after it has sent that many bytes on it, even within a message; 0 ends
-// the fault.
+// DisconnectAfter makes the node close each connection after it has sent that many bytes on it, even within a message; 0
+// ends the fault.
 func (n *Node) DisconnectAfter(bytes int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -311,16 +311,16 @@
 	n.cap = conns
 }
 
-// LoseIdle silently loses connections idle for longer than the given time: a message on a lost connection is never answered.
-// 0 ends the fault for connections that are not lost yet.
+// LoseIdle silently loses connections idle for longer than the given time: a message on a lost connection is never
+// answered. 0 ends the fault for connections that are not lost yet.
 func (n *Node) LoseIdle(idle time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.idleLimit = idle
 }
 
-// ServeStale makes the node answer reads from data as old as age while it reports its current log position: a planted fault that
-// a judge of the trace must find. 0 ends the fault.
+// ServeStale makes the node answer reads from data as old as age while it reports its current log position: a planted fault
+// that a judge of the trace must find. 0 ends the fault.
 func (n *Node) ServeStale(age time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/standin/session.go
+++ b/standin/session.go
@@ -37,7 +37,9 @@
 	lost         bool      // the connection was silently lost
 	deliverAt    time.Time // when the link delivers the last message
 
-	lastArrived *Statement // last statement received, facts and guards excepted, to which a cancel request applies; under the trace's lock
+	// lastArrived is the last statement received, facts and guards excepted. A cancel request applies to it. It is guarded
+	// by the trace's lock.
+	lastArrived *Statement
 }
 
 // queuedMessage is one message that was received and waits to be handled; a hung node receives messages too.
@@ -121,7 +123,7 @@
 	formats []int
 }
 
-// disconnectError ends a session whose connection is closed on purpose.
+// disconnectError ends a session whose connection is closed on purpose or whose process has ended.
 type disconnectError struct{}
 
 func (disconnectError) Error() string { return "cut" }
@@ -144,7 +146,8 @@
 		s.nc.Close()
 		for m := range queue {
 			if s.markNotRun(m.st); m.st != nil && s.endCode != "" {
-				s.updateStatement(m.st, func(st *Statement) { st.Code = s.endCode }) // the client learned from the fatal error that nothing more runs
+				// The client learned from the fatal error that nothing more runs.
+				s.updateStatement(m.st, func(st *Statement) { st.Code = s.endCode })
 			}
 		}
 	}()
--- a/standin/sql.go
+++ b/standin/sql.go
@@ -100,7 +100,7 @@
 	replica  bool
 	at       position.Position
 	snapshot string
-	received uint64 // end of the log that a replica has received
+	received uint64 // LSN at the end of the log that a replica has received; 0 for a primary
 }
 
 func (n *Node) facts() facts {
--- a/standin/trace.go
+++ b/standin/trace.go
@@ -28,14 +28,14 @@
 	Tag      string // the client's identifier of the request
 	Key      string
 	Arrived  time.Time
-	Ended    time.Time         // when its answer was written or its connection ended; zero while it is in flight
+	Ended    time.Time         // when it was answered or its connection ended; zero while it is in flight
 	Canceled time.Time         // when a cancel request for it was received; zero for none
 	Ran      bool              // it read data or took effect
 	Code     string            // SQLSTATE with which it was refused; "" if it was not
 	Position position.Position // log position that a read or facts query saw, or that a write reached
 	Replica  bool              // the node acted as a replica
-	// XIDWatermark is set for a read: on a primary, the lowest transaction id in progress; on a replica, the lowest id above every
-	// transaction visible there. It is 0 for other statements.
+	// XIDWatermark is set for a read: on a primary, the lowest transaction id in progress; on a replica, the lowest id above
+	// every transaction visible there. It is 0 for other statements.
 	XIDWatermark uint64
 }
 
