--- a/load/plan.go
+++ b/load/plan.go
@@ -341,8 +341,8 @@
 	}
 }
 
-// Check returns an error if the plan lacks something that Run needs: a driver, a slice, a positive rate or callers, a
-// positive run length, a warm-up that is not negative, or a class that a goal names.
+// Check returns an error if Run can't run the plan: it has no driver or no slice, neither a positive rate nor callers, a
+// length that is not positive, a negative warm-up, or a goal for a class that it does not define.
 func (p *Plan) Check() error {
 	switch {
 	case len(p.Drivers) == 0:
@@ -350,7 +350,7 @@
 	case len(p.Slices) == 0:
 		return fmt.Errorf("load: no slice is set, neither in the plan nor by --slice")
 	case !(p.Rate > 0) && p.Callers <= 0 || p.Duration <= 0 || p.WarmUp < 0:
-		return fmt.Errorf("load: rate or callers, and the time after the warm-up, must be above zero")
+		return fmt.Errorf("load: rate or callers, and the length of the run after the warm-up, must be above zero")
 	}
 	return p.checkGoals()
 }
--- a/load/result.go
+++ b/load/result.go
@@ -87,7 +87,7 @@
 type Result struct {
 	Classes   map[string]*Tally
 	Total     *Tally
-	Elapsed   time.Duration
+	Elapsed   time.Duration           // from the end of the warm-up until no more requests were due, at least 1 ms
 	SendDelay *hdrhistogram.Histogram // from due time to sending, in microseconds; open loop only
 	Goals     []GoalResult
 }
--- a/load/run.go
+++ b/load/run.go
@@ -52,7 +52,7 @@
 }
 
 // Run sends the requests of a plan and blocks until all calls have ended, at most 30 s or the longest class timeout after
-// the last one was due. It writes a line of progress to w each second, unless w is nil. Cancelling ctx ends the run early.
+// the last one was due. It writes a line of progress to w each second, unless w is nil. Canceling ctx ends the run early.
 // An error means that a driver's address is invalid and nothing was sent; drivers that don't answer are a result.
 func Run(ctx context.Context, p *Plan, w io.Writer) (*Result, error) {
 	r := &runner{plan: p, rng: rand.New(rand.NewPCG(p.Seed, 0x6c6f6164)), interval: newTally(),
