--- a/lab/experiment/compare.go
+++ b/lab/experiment/compare.go
@@ -7,13 +7,13 @@
 	"text/tabwriter"
 )
 
-// Relative differences up to which figures of simulated and live runs are taken to agree, as fractions of the live figure.
+// Relative differences, as fractions of the live figure, up to which figures of simulated and live runs agree.
 const (
 	goodputTolerance = 0.05
 	p99Tolerance     = 0.25
 )
 
-// Pair is the outcomes of one arm in simulated time and on sockets.
+// Pair holds the outcomes of one arm in simulated time and on sockets.
 type Pair struct {
 	Arm             string
 	Simulated, Live Outcome
@@ -52,8 +52,8 @@
 	{"p99 all s", func(f *Figures) float64 { return f.All99 }, "%.3f", false},
 }, columns...)
 
-// WriteComparison writes the means of each arm in simulated and live runs as a table, and a verdict for each arm. It returns
-// the number of arms that differ.
+// WriteComparison writes the means of each arm in simulated and live runs as a table, and a verdict for each arm. It
+// returns the number of arms that differ.
 func WriteComparison(out io.Writer, name string, pairs []Pair) (differ int) {
 	fmt.Fprintf(out, "%s: simulated and live, means; live figures are those of stand-ins on this machine\n", name)
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
--- a/lab/experiment/experiment_test.go
+++ b/lab/experiment/experiment_test.go
@@ -34,8 +34,8 @@
 	return x
 }
 
-// TestEveryTrouble checks for each kind of trouble that it takes effect, breaks no rule, leaves at least half of the requests
-// served and changes the run.
+// TestEveryTrouble checks for each kind of trouble that it takes effect, breaks no rule, leaves at least half of the
+// requests served and changes the run.
 func TestEveryTrouble(t *testing.T) {
 	run := func(more string) Figures {
 		t.Helper()
--- a/lab/experiment/file.go
+++ b/lab/experiment/file.go
@@ -1,7 +1,7 @@
 // Package experiment reads experiment files, written in the syntax of the settings: an installation, its load and its
 // troubles, and arms that change some of these. It runs every arm with several seeds, in simulated time (lab/world) or on
-// sockets (package lab), and gives the figures of each arm, the broken rules and whether arms differ significantly; figures of
-// simulated runs are those of the model. The commands lab run, lab sweep and lab hunt call it, and lab/report uses its
+// sockets (package lab), and gives the figures of each arm, the broken rules and whether arms differ significantly; figures
+// of simulated runs are those of the model. The commands lab run, lab sweep and lab hunt call it, and lab/report uses its
 // confidence intervals.
 package experiment
 
@@ -34,7 +34,7 @@
 	World world.Config
 }
 
-// setup is the parameters that a file sets for all arms and that an arm may change. They are documented in world.Config.
+// setup holds the parameters that a file sets for all arms and that an arm may change. They are documented in world.Config.
 type setup struct {
 	drivers, slices, members, cores, maxTries, sessions, keys, slicesPerSession, maxConnections int
 	rate, workSpread, workTail, jitter, retryBudget                                             float64
--- a/lab/experiment/hunt.go
+++ b/lab/experiment/hunt.go
@@ -113,7 +113,7 @@
 }
 
 // Hunt runs random candidates until one breaks a rule, which it then shrinks, or until the number of runs is used up;
-// shrinking counts. The same seed gives the same result. Progress, if not nil, is called after each candidate without a
+// shrinking counts. The same seed gives the same result. Hunt calls progress, unless nil, after each candidate without a
 // broken rule.
 func Hunt(ctx context.Context, seed uint64, runs int, modify func(*world.Config), progress func(*HuntResult)) (*HuntResult, error) {
 	f := &HuntResult{Goodput: 2}
--- a/lab/experiment/run.go
+++ b/lab/experiment/run.go
@@ -40,7 +40,7 @@
 	Took     time.Duration  // wall-clock time of the run
 }
 
-// Outcome is the figures of all runs of an arm, indexed by repeat.
+// Outcome holds the figures of the runs of an arm, in the order of the repeats.
 type Outcome struct {
 	Arm  string
 	Runs []Figures
@@ -152,7 +152,7 @@
 }
 
 // recoveryTime returns the seconds from the end of the last trouble to the start of the first second in which 90% of the
-// value requested is earned. It is NaN if there is no such second or no trouble.
+// value requested is earned. It is NaN if there is no such second or no trouble, or if the last trouble ends after the run.
 func recoveryTime(cfg *world.Config, r *world.Result) float64 {
 	last := time.Duration(0)
 	for _, t := range cfg.Troubles {
--- a/lab/experiment/sweep_test.go
+++ b/lab/experiment/sweep_test.go
@@ -53,7 +53,7 @@
 		}
 	}}
 	if _, _, err := x.Sweep(ctx, dir, o); err == nil {
-		t.Fatal("a cancelled sweep returned no error")
+		t.Fatal("a canceled sweep returned no error")
 	}
 	path := filepath.Join(dir, "sweep.cbor")
 	text, _ := os.ReadFile(path)
