--- a/lab/record/query.go
+++ b/lab/record/query.go
@@ -16,7 +16,7 @@
 
 // Query selects rows and groups them by fields.
 type Query struct {
-	Kind   string // KindRequest (the default) or KindAttempt
+	Kind   string // kind of the rows; KindRequest if empty
 	By     []string
 	Where  []Condition
 	Window time.Duration // length of the windows of By "window"; 1 s if 0
@@ -74,7 +74,7 @@
 	return slices.Contains(c.Values, fields[c.Field](r)) != c.Not
 }
 
-// Summary is the totals of one group of rows.
+// Summary holds the totals of one group of rows.
 type Summary struct {
 	By                      []string
 	Rows                    int
@@ -84,8 +84,8 @@
 	Took                    *hdrhistogram.Histogram // latency of served rows, in microseconds
 }
 
-// Query runs a query and returns a summary for each group that has rows: ordered by group, or by number of rows if the limit
-// left groups out.
+// Query runs a query and returns a summary for each group that has rows: ordered by group, or by descending number of rows
+// if the limit left groups out. A field that does not exist is an error that lists the fields.
 func (r *Recording) Query(q Query) ([]*Summary, error) {
 	for _, by := range q.By {
 		if !groupFields()[by] {
--- a/lab/record/record_test.go
+++ b/lab/record/record_test.go
@@ -15,7 +15,8 @@
 		Sent: int64(i) * int64(time.Millisecond), Ended: int64(i+5) * int64(time.Millisecond), Outcome: []string{"served", "served", "refused", "failed"}[i%4], Value: 1}
 }
 
-// TestConcurrentWrites checks that rows added by several goroutines are read back unchanged, in the order of each goroutine.
+// TestConcurrentWrites checks that rows added by several goroutines are read back unchanged, in the order in which each
+// goroutine added them.
 func TestConcurrentWrites(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "r")
 	w, err := Create(dir, Manifest{Name: "n", Seed: 7, Text: "rate 1"})
@@ -84,7 +85,7 @@
 	}
 	n := 0
 	if err := r.Each(func(*Row) error { n++; return nil }); err != nil || n < partRows || n >= partRows+3*batchRows || !r.Incomplete || !r.Manifest.Ended.IsZero() {
-		t.Errorf("%d rows, cut %v, %v", n, r.Incomplete, err)
+		t.Errorf("%d rows, incomplete %v, %v", n, r.Incomplete, err)
 	}
 }
 
--- a/lab/record/row.go
+++ b/lab/record/row.go
@@ -24,7 +24,7 @@
 	Zone           string  `parquet:"hall,dict"` // of the node
 	Role           string  `parquet:"role,dict"` // of the node: primary, replica, or empty if not reported
 	Sent           int64   `parquet:"sent,delta"`
-	Ended          int64   `parquet:"ended,delta"` // Never if no end was observed
+	Ended          int64   `parquet:"ended,delta"` // NoEnd if no end was observed
 	Outcome        string  `parquet:"outcome,dict"`
 	Cause          string  `parquet:"cause,dict"` // why the request was not served
 	Value          float64 `parquet:"worth"`      // value earned; requests only
@@ -48,7 +48,7 @@
 // NoEnd is the Ended of a row without an observed end.
 const NoEnd = int64(-1)
 
-// Took returns the time from Sent to Ended, or 0 if Ended is Never.
+// Took returns the time from Sent to Ended, or 0 if Ended is NoEnd.
 func (r *Row) Took() time.Duration {
 	if r.Ended == NoEnd {
 		return 0
