--- a/lab/report/report.go
+++ b/lab/report/report.go
@@ -33,11 +33,11 @@
 type armStats struct {
 	name              string
 	requested, earned []float64                          // value by window
-	latencyByWindow   []*hdrhistogram.Histogram          // of served requests, in microseconds
-	latencyByClass    map[string]*hdrhistogram.Histogram // likewise
+	latencyByWindow   []*hdrhistogram.Histogram          // of served requests by window of their end, in microseconds
+	latencyByClass    map[string]*hdrhistogram.Histogram // of served requests by class, in microseconds
 	attemptsByNode    map[string]int
 	causes            map[string]int
-	lastStart         map[string]int64 // time of the last start, by repeat and node
+	lastStart         map[string]int64 // time of the last start in ns, by repeat and node
 	starts            int
 	coldAttempts      [coldWindows]int // attempts by windows since the start of their node
 	requests          int
@@ -294,8 +294,8 @@
 	return v
 }
 
-// splitNumber splits an arm's name, like "rate 100", into the text and the number at its end, in seconds if it is a duration.
-// It returns false if the name does not end with a number.
+// splitNumber splits an arm's name, like "rate 100", into the text and the number at its end, which is in seconds if it is
+// a duration. It returns false if the name does not end with a positive number or a duration.
 func splitNumber(name string) (label string, n float64, ok bool) {
 	i := strings.LastIndex(name, " ")
 	if i < 0 {
