--- a/lab/badday.go
+++ b/lab/badday.go
@@ -130,7 +130,7 @@
 	return d.finish(), nil
 }
 
-// addChecks adds the counts, the leaks and the evidence that is missing.
+// addChecks adds the counts of calls and faults, the leaks and the missing evidence.
 func (r *Report) addChecks(d *day, goroutines int, closing error) {
 	r.Counts = map[Verdict]int{}
 	for _, c := range d.callLog.Calls() {
@@ -288,7 +288,7 @@
 	})
 }
 
-// drainReplica lists a replica as draining and then as gone, kills it and restarts it cold.
+// drainReplica lists a replica as draining and then as removed, kills it and restarts it cold.
 func (d *day) drainReplica(g *standin.Group, after time.Duration) {
 	d.schedule(after, "drain", func(context.Context) {
 		d.promotionLocks[g].Lock()
--- a/lab/bench_test.go
+++ b/lab/bench_test.go
@@ -22,9 +22,9 @@
 		for _, apply := range []time.Duration{time.Millisecond, 5 * time.Millisecond, 20 * time.Millisecond} {
 			b.Run(fmt.Sprintf("gap=%v/apply=%v", gap, apply), func(b *testing.B) {
 				for range b.N {
-					primary, served, asked := ownReads(b, gap, apply)
+					primary, served, sent := ownReads(b, gap, apply)
 					b.ReportMetric(float64(primary)/float64(max(served, 1)), "at-primary")
-					b.ReportMetric(float64(served)/float64(max(asked, 1)), "served")
+					b.ReportMetric(float64(served)/float64(max(sent, 1)), "served")
 					b.ReportMetric(0, "ns/op")
 				}
 			})
@@ -32,7 +32,7 @@
 	}
 }
 
-func ownReads(b *testing.B, gap, apply time.Duration) (primary, served, asked int) {
+func ownReads(b *testing.B, gap, apply time.Duration) (primary, served, sent int) {
 	node := standin.Config{Cores: 2, Read: 4 * time.Millisecond, Write: 4 * time.Millisecond, ShipDelay: 5 * time.Millisecond, ReplayTime: apply,
 		MaxConns: 200, ColdFrom: 1, RampTime: time.Second}
 	f, err := NewFleet(Spec{Slices: 1, Members: 4, Drivers: 1, Node: node, Seed: 1})
@@ -61,7 +61,7 @@
 		if c.Class.Name != "own-read" {
 			continue
 		}
-		asked++
+		sent++
 		if c.Served != nil {
 			served++
 			if c.Served.Role == pb.Role_ROLE_PRIMARY {
@@ -69,7 +69,7 @@
 			}
 		}
 	}
-	return primary, served, asked
+	return primary, served, sent
 }
 
 // BenchmarkNewcomers adds 60 cold nodes at once to the inventory file of 50 drivers. It reports the most
--- a/lab/chain.go
+++ b/lab/chain.go
@@ -32,14 +32,14 @@
 	Value    string `json:"value"`
 	LSN      int64  `json:"lsn"` // of the newest comment
 	Token    string `json:"token"`
-	Holds    string `json:"holds"`
-	Timeline uint32 `json:"timeline"` // of the node that answered
-	At       uint64 `json:"at"`       // log position of that node
-	Settled  bool   `json:"-"`
+	Holds    string `json:"holds"`             // token for the position of the data
+	Timeline uint32 `json:"timeline"`          // of the node that answered
+	At       uint64 `json:"at"`                // log position of that node
+	Settled  bool   `json:"-"`                 // the request's tokens had an unknown position that the answer replaced
 	Dropped  bool   `json:"dropped,omitempty"` // a token was lost while it was fetched; read only by the judge
 }
 
-// tokenRead is a read that a driver was sent and the position that its token required.
+// tokenRead is a read sent to a driver and the position that its token required.
 type tokenRead struct {
 	tag    string
 	slice  string
@@ -109,7 +109,7 @@
 	var clients sync.WaitGroup
 	begin := time.Now()
 	for i := range 48 {
-		r := &reader{chain: c, name: fmt.Sprintf("r%d", i), rng: rand.New(rand.NewPCG(seed, uint64(i))), versions: map[string]version{}, pastBags: map[int]token.Set{}}
+		r := &reader{chain: c, name: fmt.Sprintf("r%d", i), rng: rand.New(rand.NewPCG(seed, uint64(i))), versions: map[string]version{}, pastCookies: map[int]token.Set{}}
 		clients.Go(func() {
 			for ctx.Err() == nil && (c.steps.Load() < steps || time.Since(begin) < 6*time.Second) && time.Since(begin) < 15*time.Second {
 				r.step(ctx)
@@ -278,7 +278,7 @@
 	return p, res, json.Unmarshal(text, &p)
 }
 
-// pageCache caches pages under causal rules. One answer in 50 is wrong on purpose: an old page with the token of
+// pageCache caches pages, with causal consistency. One answer in 50 is wrong on purpose: an old page with the token of
 // the current one.
 func (c *chain) pageCache(w http.ResponseWriter, r *http.Request) {
 	col := propagation.FromContext(r.Context())
@@ -339,20 +339,20 @@
 	slice := r.FormValue("slice")
 	seen, _ := col.Tokens().JoinUnverified()
 	q := url.Values{"slice": {slice}, "thread": {r.FormValue("thread")}}
-	ask := func() (page, *http.Response, error) {
+	fetch := func() (page, *http.Response, error) {
 		if r.Method == http.MethodPost {
 			return c.call(r.Context(), r.Method, c.comments.URL, q)
 		}
 		return c.call(r.Context(), r.Method, c.cache.URL, q)
 	}
-	p, res, err := ask()
+	p, res, err := fetch()
 	if err == nil && r.Method == http.MethodGet {
 		holds, _ := token.Parse(p.Holds)
 		need, any := seen.Position(slice)
 		if at, ok := holds.Position(slice); any && (!ok || at.LSN == position.UnknownLSN || !at.Covers(need)) {
 			c.detected.Add(1)
 			q.Set("fresh", "1")
-			p, res, err = ask()
+			p, res, err = fetch()
 		}
 	}
 	if res != nil {
@@ -378,13 +378,13 @@
 
 // reader is a browser session: its cookie, and the versions whose tokens the cookie holds.
 type reader struct {
-	chain    *chain
-	name     string
-	rng      *rand.Rand
-	bag      token.Set
-	versions map[string]version // by slice and thread, the newest write that it made or read and whose token it holds
-	pastBags map[int]token.Set
-	reads    int
+	chain       *chain
+	name        string
+	rng         *rand.Rand
+	cookie      token.Set
+	versions    map[string]version // by slice and thread, the newest write that it made or read and whose token it holds
+	pastCookies map[int]token.Set  // the cookies of the last eight reads
+	reads       int
 }
 
 func (r *reader) step(ctx context.Context) {
@@ -397,10 +397,10 @@
 	r.read(ctx, g, thread)
 }
 
-func (r *reader) do(ctx context.Context, method string, g *standin.Group, thread string, bag token.Set) (page, *http.Response, error) {
+func (r *reader) do(ctx context.Context, method string, g *standin.Group, thread string, cookie token.Set) (page, *http.Response, error) {
 	req, _ := http.NewRequestWithContext(context.WithoutCancel(ctx), method, r.chain.web.URL+"/?"+url.Values{"slice": {g.Name}, "thread": {thread}}.Encode(), nil)
-	if !bag.IsEmpty() {
-		req.AddCookie(&http.Cookie{Name: propagation.Cookie, Value: bag.String()})
+	if !cookie.IsEmpty() {
+		req.AddCookie(&http.Cookie{Name: propagation.Cookie, Value: cookie.String()})
 	}
 	res, err := r.chain.browser().Do(req)
 	if err != nil {
@@ -414,7 +414,8 @@
 	}
 	for _, ck := range res.Cookies() {
 		if ck.Name == propagation.Cookie {
-			r.bag = r.bag.Replace(bag, "").Absorb(token.ParseSet(ck.Value)) // as a browser's cookie jar does: the answer includes what the request sent
+			// As in a browser's cookie jar, the answer's cookie replaces the one that was sent, whose tokens it includes.
+			r.cookie = r.cookie.Replace(cookie, "").Absorb(token.ParseSet(ck.Value))
 		}
 	}
 	return p, res, json.Unmarshal(text, &p)
@@ -425,9 +426,9 @@
 func (c *chain) browser() *http.Client { return browserClient }
 
 func (r *reader) write(ctx context.Context, g *standin.Group, thread string) {
-	p, res, err := r.do(ctx, http.MethodPost, g, thread, r.bag)
+	p, res, err := r.do(ctx, http.MethodPost, g, thread, r.cookie)
 	if err == nil && res.Header.Get(dropMark) == "" {
-		if t, complete := r.bag.JoinUnverified(); complete {
+		if t, complete := r.cookie.JoinUnverified(); complete {
 			if at, ok := t.Position(g.Name); ok && at.LSN >= uint64(p.LSN) {
 				r.versions[g.Name+"/"+thread] = version{p.Value, position.Position{Timeline: p.Timeline, LSN: uint64(p.LSN)}}
 			}
@@ -436,18 +437,18 @@
 }
 
 func (r *reader) read(ctx context.Context, g *standin.Group, thread string) {
-	bag := r.bag
-	r.pastBags[r.reads%8] = bag
+	cookie := r.cookie
+	r.pastCookies[r.reads%8] = cookie
 	r.reads++
 	stale := r.rng.IntN(20) == 0
 	if stale {
-		bag = r.pastBags[r.rng.IntN(len(r.pastBags))] // a late retry with an earlier token
+		cookie = r.pastCookies[r.rng.IntN(len(r.pastCookies))] // a late retry with an earlier token
 	}
-	p, res, err := r.do(ctx, http.MethodGet, g, thread, bag)
+	p, res, err := r.do(ctx, http.MethodGet, g, thread, cookie)
 	if err != nil {
 		if res != nil && res.Header.Get("X-Lab-Reason") != "" && res.Header.Get("X-Lab-Reason") != "REFUSED" && res.Header.Get("X-Lab-Reason") != "FAILED" {
 			r.chain.countFault(res.Header.Get("X-Lab-Reason"))
-			r.bag, r.versions = token.Set{}, map[string]version{}
+			r.cookie, r.versions = token.Set{}, map[string]version{}
 		}
 		return
 	}
@@ -455,7 +456,7 @@
 		return
 	}
 	known, ok := r.versions[g.Name+"/"+thread]
-	t, _ := bag.JoinUnverified()
+	t, _ := cookie.JoinUnverified()
 	if at, still := t.Position(g.Name); ok && still && at.Covers(known.at) { // else the cookie does not hold the token
 		r.chain.mu.Lock()
 		r.chain.checkedReads = append(r.chain.checkedReads, checkedRead{r.name, g.Name, thread, known.tag, p})
@@ -467,7 +468,7 @@
 // noteVersion records the version that a page showed if the cookie holds the token that came with it.
 func (r *reader) noteVersion(slice, thread string, p page) {
 	seen, err := token.Parse(p.Token)
-	held, complete := r.bag.JoinUnverified()
+	held, complete := r.cookie.JoinUnverified()
 	at, ok := seen.Position(slice)
 	if has, _ := held.Position(slice); err == nil && complete && ok && p.Value != "" && at.LSN != position.UnknownLSN && has.Covers(at) {
 		r.versions[slice+"/"+thread] = version{p.Value, at}
@@ -513,7 +514,7 @@
 		}
 		tokens.Chances++
 		if s.Position.Timeline < a.need.Timeline || s.Position.LSN < a.need.LSN && groups[a.slice].Survives(a.need, s.Position.Timeline) {
-			tokens.Break("read %s at %s was answered from %v, its token asked for %v", a.tag, a.served, s.Position, a.need)
+			tokens.Break("read %s at %s was answered from %v, its token requires %v", a.tag, a.served, s.Position, a.need)
 		}
 	}
 	return []*Rule{tokens, own}
--- a/lab/client.go
+++ b/lab/client.go
@@ -32,7 +32,7 @@
 	Refused            // the driver reported that nothing ran, so that a retry is harmless
 	Failed             // the driver did not rule out that the request ran
 	Canceled           // by the client
-	Unanswered         // no answer of a driver arrived: its process ended or the rule is broken
+	Unanswered         // no answer arrived from the driver: its process ended, or it broke the rule "one final answer"
 )
 
 var verdictNames = [...]string{"served", "refused", "failed", "left", "unanswered"}
@@ -81,7 +81,7 @@
 	return append([]Call(nil), b.calls...)
 }
 
-// extraWait is how much longer than its stated timeout a client waits. It separates answers that never come from
+// extraWait is the time that a client waits beyond its stated timeout. It separates answers that never arrive from
 // answers that are late on a busy machine.
 const extraWait = 4 * time.Second
 
@@ -165,8 +165,8 @@
 	return s.tryCall(ctx, d, slice, class, cancelAfter, class.Deadline, 0)
 }
 
-// tryCall is call for a client that retries: remaining is the rest of its time, try the number of the retry, 0 for
-// the first. It returns nil if the driver does not run.
+// tryCall makes one try of a call and records it. remaining is the time left until the client's deadline; try is 0 for
+// the first try and counts the client's retries. It returns nil if the driver does not run.
 func (s *session) tryCall(ctx context.Context, d *Driver, slice string, class *Class, cancelAfter, remaining time.Duration, try int) *Call {
 	client := d.Client()
 	if client == nil {
--- a/lab/dayfile.go
+++ b/lab/dayfile.go
@@ -126,7 +126,7 @@
 	replaySeconds = 10.0 // length of the replay, whatever the day's length
 	replayNodes   = 12
 	replayDrivers = 4
-	replayRate    = 400.0 // requests a second that all nodes can serve together
+	replayRate    = 400.0 // requests per second that all nodes can serve together
 )
 
 // scaledDay describes how a day was scaled down.
@@ -177,7 +177,7 @@
 // site returns the day's classes and rules for the drivers' settings. The clients' times are not scaled.
 func (d *dayFile) site() Site {
 	micros := func(v float64) time.Duration { return time.Duration(v) * time.Microsecond }
-	site := Site{Grace: micros(d.DrainGrace), Fall: micros(d.FallFor), Tip: d.FallMultiple, ParallelAttempts: d.Allow.SecondCopies, Margin: 50 * time.Millisecond}
+	site := Site{Grace: micros(d.DrainGrace), ColdOverloadWindow: micros(d.FallFor), ColdOverloadMultiple: d.FallMultiple, ParallelAttempts: d.Allow.SecondCopies, Margin: 50 * time.Millisecond}
 	needs := []balance.Need{balance.NeedAny, balance.NeedBounded, balance.NeedSession, balance.NeedFresh, balance.NeedWrite}
 	effects := map[string]balance.Effect{"safe": balance.Safe, "keyed": balance.Keyed, "unsafe": balance.Unsafe}
 	for i, c := range d.Classes {
--- a/lab/fleet.go
+++ b/lab/fleet.go
@@ -28,9 +28,9 @@
 	Slices  int
 	Members int // nodes of a slice, including the primary
 	Drivers int
-	Site    Site      // UsersSite if it has no class
+	Site    Site      // NewsroomSite if it has no class
 	Layout  [][]Place // the nodes of each slice, the primary first; replaces Slices and Members
-	Zones   []string  // assigned to nodes and drivers in turn; two zones of the users if empty
+	Zones   []string  // assigned to nodes and drivers in turn; the newsroom's two zones if empty
 	Dir     string    // if set, drivers follow an inventory file in this directory instead of SetNodes
 	Node    standin.Config
 	Extra   string // further lines of the drivers' settings
@@ -156,7 +156,7 @@
 }
 
 // Start starts a driver that does not run. The driver knows the present list of nodes and nothing of its earlier
-// lifetimes. The error is that of the settings or of server.New.
+// lifetimes. The error is that of the settings, of server.New or of grpc.NewClient.
 func (f *Fleet) Start(d *Driver) error {
 	s, err := f.Settings(d)
 	if err != nil {
--- a/lab/guarantees.go
+++ b/lab/guarantees.go
@@ -15,7 +15,7 @@
 // mixedSite has a class for each guarantee, with targets and deadlines long enough for slow reads.
 func mixedSite() Site {
 	const second = time.Second
-	return Site{Grace: 500 * time.Millisecond, Fall: second, Tip: 3, Margin: 50 * time.Millisecond, Classes: []Class{
+	return Site{Grace: 500 * time.Millisecond, ColdOverloadWindow: second, ColdOverloadMultiple: 3, Margin: 50 * time.Millisecond, Classes: []Class{
 		{Name: "own-read", Need: balance.NeedSession, Share: 0.45, Target: 400 * time.Millisecond, Deadline: 2 * second, Value: 1},
 		{Name: "article-read", Need: balance.NeedBounded, Bound: 300 * time.Millisecond, Share: 0.18, Target: 400 * time.Millisecond, Deadline: 2 * second, Value: 2},
 		{Name: "desk-check", Need: balance.NeedFresh, Share: 0.15, Target: 400 * time.Millisecond, Deadline: 2 * second, Value: 1},
@@ -118,8 +118,7 @@
 
 // historyScript schedules replicas that lag by different amounts, pause and catch up, and changes of the primary.
 // The first slice is written to all the time and its replicas lag now and then. The second is hardly written to and
-// its replicas always lag by some tenths of a second, which is where a token that covers too little leads to stale
-// reads.
+// its replicas always lag by some tenths of a second, so that a token that covers too little leads to stale reads.
 func (d *day) historyScript() {
 	for i, n := range d.fleet.Groups[0].Nodes()[1:] {
 		factor := []float64{60, 900, 1500}[(i+d.rng.IntN(3))%3]
--- a/lab/importday.go
+++ b/lab/importday.go
@@ -214,7 +214,7 @@
 	}
 }
 
-// writeSteps writes drivers that restart in turn, or nodes that are replaced after a notice.
+// writeSteps writes the troubles of a rolling restart of drivers or of nodes that are replaced after a notice.
 func (i *importer) writeSteps(t *dayTrouble, driver func(int) world.Place) {
 	for _, step := range t.Steps {
 		for _, n := range step.Stop {
--- a/lab/judge.go
+++ b/lab/judge.go
@@ -32,13 +32,13 @@
 	Rules   []*Rule
 	Counts  map[Verdict]int
 	Faults  []string
-	Slack   time.Duration // for comparing times: 30 ms and four times the longest delay of a ready goroutine
+	Slack   time.Duration // for comparing times: 30 ms plus four times the longest delay of a ready goroutine
 	Leaks   []string
 	Missing []string // evidence that the run had to produce and did not
 	Notes   []string // figures, one line each
 }
 
-// Broken returns the number of broken rules, leaks and entries of Missing.
+// Broken returns the number of breaks of rules, leaks and entries of Missing.
 func (r *Report) Broken() int {
 	n := len(r.Leaks) + len(r.Missing)
 	for _, rule := range r.Rules {
@@ -47,7 +47,7 @@
 	return n
 }
 
-// judge indexes what a run recorded.
+// judge holds the records of a run, with indexes.
 type judge struct {
 	fleet   *Fleet
 	calls   []Call
@@ -182,8 +182,8 @@
 	return r
 }
 
-// coldSpared checks that, within any window of the fall time, a node that has just started gets no more requests
-// than the tip multiple of what it can serve by then.
+// coldSpared checks that, within any Site.ColdOverloadWindow, a node that has just started gets no more requests than
+// Site.ColdOverloadMultiple times what it can serve in this time at its speed at the end of the window.
 func (j *judge) coldSpared() *Rule {
 	r := &Rule{Name: "cold nodes spared"}
 	cfg := j.fleet.Spec.Node
@@ -193,13 +193,13 @@
 		for i := from; i < len(all) && all[i].Arrived.Sub(start.At) < cfg.RampTime; i++ {
 			r.Chances++
 			k := i
-			for k < len(all) && all[k].Arrived.Sub(all[i].Arrived) < j.fleet.Spec.Site.Fall {
+			for k < len(all) && all[k].Arrived.Sub(all[i].Arrived) < j.fleet.Spec.Site.ColdOverloadWindow {
 				k++
 			}
 			age := min(1, all[k-1].Arrived.Sub(start.At).Seconds()/cfg.RampTime.Seconds())
-			capacity := cfg.Capacity() * j.fleet.Spec.Site.Fall.Seconds() * (cfg.ColdFrom + (1-cfg.ColdFrom)*age)
-			if float64(k-i) > j.fleet.Spec.Site.Tip*capacity {
-				r.Break("%s got %d requests in %v, %v after its start, and could serve %.0f", start.Node, k-i, j.fleet.Spec.Site.Fall, all[i].Arrived.Sub(start.At), capacity)
+			capacity := cfg.Capacity() * j.fleet.Spec.Site.ColdOverloadWindow.Seconds() * (cfg.ColdFrom + (1-cfg.ColdFrom)*age)
+			if float64(k-i) > j.fleet.Spec.Site.ColdOverloadMultiple*capacity {
+				r.Break("%s got %d requests in %v, %v after its start, and could serve %.0f", start.Node, k-i, j.fleet.Spec.Site.ColdOverloadWindow, all[i].Arrived.Sub(start.At), capacity)
 				break
 			}
 		}
--- a/lab/lab_test.go
+++ b/lab/lab_test.go
@@ -226,7 +226,7 @@
 		{"no second effect", "two at once", true, []Call{call("article-read", Served, 1)}, []standin.Statement{st("db0", 0.1, 0.9, nil), st("db1", 0.3, 0.4, nil)}, nil, nil},
 		{"drains kept", "inside the grace", false, nil, []standin.Statement{st("db1", 0.4, 0.5, nil)}, []Notice{{"d", "db1", balance.LifeDraining, sec(0)}}, nil},
 		{"drains kept", "after the grace", true, nil, []standin.Statement{st("db1", 0.6, 0.7, nil)}, []Notice{{"d", "db1", balance.LifeDraining, sec(0)}}, nil},
-		{"drains kept", "gone after it drained", true, nil, []standin.Statement{st("db1", 0.6, 0.7, nil)}, []Notice{{"d", "db1", balance.LifeDraining, sec(0)}, {"d", "db1", balance.LifeRemoved, sec(0.5)}}, nil},
+		{"drains kept", "removed after it drained", true, nil, []standin.Statement{st("db1", 0.6, 0.7, nil)}, []Notice{{"d", "db1", balance.LifeDraining, sec(0)}, {"d", "db1", balance.LifeRemoved, sec(0.5)}}, nil},
 		{"drains kept", "ready again", false, nil, []standin.Statement{st("db1", 1.6, 1.7, nil)}, []Notice{{"d", "db1", balance.LifeDraining, sec(0)}, {"d", "db1", balance.LifeReady, sec(1)}}, nil},
 		{"cold nodes spared", "overloaded", true, nil, burst, nil, []standin.Start{{Node: "db1", At: sec(0.1), Cold: true}}},
 		{"cold nodes spared", "below its limit", false, nil, burst[:20], nil, []standin.Start{{Node: "db1", At: sec(0.1), Cold: true}}},
--- a/lab/live.go
+++ b/lab/live.go
@@ -31,11 +31,13 @@
 	promotionLog *promotionLog
 	rogue        *rogue
 
-	badShare, hotShare atomic.Int64 // shares of requests, in thousandths: those that fail on every node, and those that go to the first driver
+	// badShare is the share of requests that fail on every node, hotShare that of requests that go to the first driver. Both
+	// are in thousandths.
+	badShare, hotShare atomic.Int64
 
 	mu               sync.Mutex
 	load             float64   // multiple of the usual rate
-	listDelayedUntil time.Time // drivers get no changes of the list before
+	listDelayedUntil time.Time // drivers are notified of no change of the list before
 	zonePaths        map[string]*zonePath
 	idle             [][]*session // by driver
 	created          int
@@ -109,7 +111,7 @@
 // siteOf returns the classes and rules of a world.
 func siteOf(cfg *world.Config) Site {
 	r := &cfg.Engine.Router
-	site := Site{Grace: r.DrainGrace, Fall: r.ColdOverloadWindow, Tip: r.ColdOverloadMultiple, Margin: 50 * time.Millisecond}
+	site := Site{Grace: r.DrainGrace, ColdOverloadWindow: r.ColdOverloadWindow, ColdOverloadMultiple: r.ColdOverloadMultiple, Margin: 50 * time.Millisecond}
 	for i, c := range r.Classes {
 		site.Classes = append(site.Classes, Class{Name: c.Name, Need: c.Need, Effect: c.Effect, Share: cfg.Shares[i], Target: c.Target, Deadline: c.Deadline, Bound: c.Bound,
 			Window: c.Window, Value: c.Value, LateValue: c.LateValue})
--- a/lab/livetrouble.go
+++ b/lab/livetrouble.go
@@ -169,7 +169,7 @@
 	})
 }
 
-// drainNode lists a node as draining and then as gone, kills it, restarts it cold and lists it as ready.
+// drainNode lists a node as draining and then as removed, kills it, restarts it cold and lists it as ready.
 func (l *live) drainNode(n *standin.Node, duration time.Duration) {
 	go func() { l.announce(n, balance.LifeDraining) }()
 	l.rogue.readDrained(n, l.cfg.Notice+l.fleet.Spec.Site.Grace, duration)
@@ -268,7 +268,7 @@
 		return
 	}
 	node, site := &r.live.fleet.Spec.Node, &r.live.fleet.Spec.Site
-	count := 2 * site.Tip * node.Capacity() * site.Fall.Seconds() * node.ColdFrom
+	count := 2 * site.ColdOverloadMultiple * node.Capacity() * site.ColdOverloadWindow.Seconds() * node.ColdFrom
 	r.live.troubles.Go(func() { r.sendReads(n, int(count), time.Millisecond) })
 }
 
--- a/lab/overload.go
+++ b/lab/overload.go
@@ -12,12 +12,12 @@
 	"umberladder/standin"
 )
 
-// slowNode is a stand-in whose capacity a few hundred requests a second exceed ten times.
+// slowNode is a stand-in with so little capacity that a few hundred requests per second are ten times as much.
 var slowNode = standin.Config{Cores: 1, Read: 25 * time.Millisecond, Write: 12 * time.Millisecond, ShipDelay: 5 * time.Millisecond,
 	ReplayTime: time.Millisecond, MaxConns: 200, ColdFrom: 0.2, RampTime: 2 * time.Second}
 
-// usualRate, in requests a second, is about nine tenths of what a slice of four slow nodes can serve of the users'
-// mix.
+// usualRate, in requests per second, is about nine tenths of what a slice of four slow nodes can serve of the newsroom's
+// classes.
 const usualRate = 110
 
 // Overload plays loads of up to ten times what the nodes can serve. In simulated time it compares the admission
@@ -199,7 +199,7 @@
 	return r, nil
 }
 
-// liveGoodput is the rule that goodput through real drivers holds under ten times the load.
+// liveGoodput is the name of the rule that goodput through real drivers holds under ten times the load.
 const liveGoodput = "live goodput"
 
 // valueRate returns the value per second of the requests that were sent between two times and served within their
--- a/lab/replay.go
+++ b/lab/replay.go
@@ -72,7 +72,7 @@
 	*day
 	file          *dayFile
 	scaled        *scaledDay
-	rate          float64      // requests a second of all clients
+	rate          float64      // requests per second of all clients
 	loadFactor    atomic.Int64 // multiplier of the rate, in thousandths
 	badShare      atomic.Int64 // share of requests that fail on every node, in thousandths
 	hotShare      atomic.Int64 // share of requests that go to the first driver in addition to its part, in thousandths
@@ -139,7 +139,7 @@
 	}
 }
 
-// loadShape returns the day's own load factor at a fraction of its length.
+// loadShape returns the day's load factor at a fraction, from 0 to 1, of its length.
 func (p *replayRun) loadShape(at float64) float64 {
 	v := 1.0
 	for _, point := range p.file.Traffic.Shape {
@@ -327,7 +327,7 @@
 	}
 }
 
-// listWrongly lists running nodes as gone and later restores the list.
+// listWrongly lists running nodes as removed and later restores the list.
 func (p *replayRun) listWrongly(t *dayTrouble, duration time.Duration) {
 	wrong := map[string]bool{}
 	for _, n := range p.affectedNodes(t) {
--- a/lab/site.go
+++ b/lab/site.go
@@ -25,19 +25,19 @@
 
 // Site holds the classes and rules of the drivers' settings.
 type Site struct {
-	Classes          []Class
-	Grace            time.Duration // of drains
-	Fall             time.Duration // a cold node fails after so long above its limit
-	Tip              float64       // the limit, as a multiple of the cold node's capacity
-	ParallelAttempts bool          // two attempts of one request may be in flight at once
-	Margin           time.Duration // drivers answer at least so long before the client's deadline
+	Classes              []Class
+	Grace                time.Duration // of drains
+	ColdOverloadWindow   time.Duration // a cold node fails after this time above its limit
+	ColdOverloadMultiple float64       // the limit, as a multiple of the cold node's capacity
+	ParallelAttempts     bool          // two attempts of one request may be in flight at once
+	Margin               time.Duration // drivers answer at least this long before the client's deadline
 }
 
 // NewsroomSite returns the newsroom's three classes and a keyed, a fresh and a streamed one, with times that suit
 // short runs.
 func NewsroomSite() Site {
 	const second = time.Second
-	return Site{Grace: 500 * time.Millisecond, Fall: second, Tip: 3, Margin: 50 * time.Millisecond, Classes: []Class{
+	return Site{Grace: 500 * time.Millisecond, ColdOverloadWindow: second, ColdOverloadMultiple: 3, Margin: 50 * time.Millisecond, Classes: []Class{
 		{Name: "article-read", Need: balance.NeedBounded, Bound: 200 * time.Millisecond, Share: 0.40, Target: 400 * time.Millisecond, Deadline: 1500 * time.Millisecond, Value: 2},
 		{Name: "own-read", Need: balance.NeedSession, Share: 0.28, Target: 250 * time.Millisecond, Deadline: 1500 * time.Millisecond, Value: 1},
 		{Name: "write", Need: balance.NeedWrite, Effect: balance.Unsafe, Share: 0.12, Target: 500 * time.Millisecond, Deadline: 3 * second, Value: 6},
@@ -69,7 +69,7 @@
 		}
 		fmt.Fprintf(&b, "\n    target %v\n    deadline %v\n    worth %g\n    late-worth %g%%\n}\n", c.Target, c.Deadline, c.Value, 100*c.LateValue)
 	}
-	fmt.Fprintf(&b, "drain grace %v\ncold fall %v\ncold tip %g\nanswers margin %v\n", s.Grace, s.Fall, s.Tip, s.Margin)
+	fmt.Fprintf(&b, "drain grace %v\ncold fall %v\ncold tip %g\nanswers margin %v\n", s.Grace, s.ColdOverloadWindow, s.ColdOverloadMultiple, s.Margin)
 	if s.ParallelAttempts {
 		b.WriteString("attempts parallel on\n")
 	}
--- a/lab/topology.go
+++ b/lab/topology.go
@@ -85,7 +85,7 @@
 	newUnlisted  bool // the list lacked the new primary
 }
 
-// falseClaim is a time in which a node claimed a timeline or a cluster that is not its own.
+// falseClaim is a period in which a node claimed a timeline or a cluster that is not its own.
 type falseClaim struct {
 	group    *standin.Group
 	from, to time.Time
@@ -324,8 +324,8 @@
 	}
 }
 
-// firstObserved returns when a node of a slice first answered a driver's poll with the given timeline or a newer
-// one.
+// firstObserved returns when a node of a slice first answered a driver's poll with the given timeline or a newer one.
+// Timeline 99, which a node claims in otherCluster, is excluded.
 func (p *promotions) firstObserved(all []standin.Statement, g *standin.Group, timeline uint32, driver string) (time.Time, bool) {
 	for i := range all {
 		s := &all[i]
@@ -363,7 +363,9 @@
 				continue
 			}
 			stopped.Chances++
-			last := map[uint64]time.Time{} // by connection, arrival of the last poll or guard, which is sent together with the request that follows it
+			// last holds, by connection, the arrival of the last poll or guard, which is sent together with the request that
+			// follows it.
+			last := map[uint64]time.Time{}
 			for i := range all {
 				s := &all[i]
 				if s.Node == m.old && (s.Kind == standin.KindFacts || s.Kind == standin.KindGuard) {
@@ -448,8 +450,8 @@
 	return r
 }
 
-// judgeWritable checks that each new primary takes a write again, unless another promotion or the end of the day
-// comes first. It also returns the time that each took.
+// judgeWritable checks that each new primary commits a write in time, unless another promotion or the end of the day
+// intervenes. It also returns the time from each promotion to the first write, where there was one.
 func (p *promotions) judgeWritable(slack time.Duration) (*Rule, []time.Duration) {
 	r := &Rule{Name: "writable again"}
 	var outages []time.Duration
