--- a/driver/catchup.go
+++ b/driver/catchup.go
@@ -5,23 +5,23 @@
 // A poll yields the time as of which a replica is proven to have all commits. A replica polled together with its
 // primary lags by the log in flight: its position then lies between two positions of the primary and proves no
 // more than the older one, which may be long ago in a driver with little traffic. Reads with a staleness bound
-// then found no proven replica, and the router, which polls each node at its own intervals, had no reason to poll
-// again soon.
+// then found no proven replica, and the router, which polls each node at an interval of its own, had no reason to
+// poll again soon.
 //
-// So while requests of a slice wait for a node and the primary's position was stale when the poll began, a replica
-// that lags is asked again within the same poll until it has reached the primary's position, for Config.ClockAge
-// at most. The router gets one result, the last.
+// So while requests of a slice wait for a node and the primary's position was stale when the poll began, the query
+// to a replica that lags is repeated within the same poll until the replica has reached the primary's position, for
+// Config.ClockAge at most. The router gets one result, the last.
 
-// minRepollPause is the first pause before a replica is asked again; each further one is twice as long. The log in
-// flight takes as long as the way to the replica and the replay of a record.
+// minRepollPause is the first pause before a query to a replica is repeated; each further one is twice as long. The
+// log in flight takes about the network delay to the replica and the replay of a record.
 const minRepollPause = 2 * time.Millisecond
 
 // maxWaiting is the most waiting requests of a slice for which polls are repeated. With more, requests wait for
 // capacity, and polls would use some of it.
 const maxWaiting = 4
 
-// repoll schedules another question to a replica that lags and reports whether it did; the poll's result is then
-// not reported yet.
+// repoll schedules another query to a replica that lags and reports whether it did; the poll's result is then not
+// reported yet.
 func (e *Engine) repoll(n *node, f Facts) bool {
 	if !f.Known || !f.Replica || !n.clockStale || n.slice.waiting == 0 || n.slice.waiting > maxWaiting || n.slice.primary == nil || n.slice.primary == n {
 		return false
--- a/driver/catchup_test.go
+++ b/driver/catchup_test.go
@@ -13,11 +13,11 @@
 	cfg := testConfig()
 	cfg.Router.Routers = 50 // many drivers: polls are far apart
 	r = newHarness(t, cfg, fleetFacts())
-	for place := uint64(1000); ; place += 10 {
+	for lsn := uint64(1000); ; lsn += 10 {
 		for name, n := range r.nodes {
-			n.facts.Position.LSN = place
+			n.facts.Position.LSN = lsn
 			if name != "p" {
-				n.facts.Position.LSN = place - 5
+				n.facts.Position.LSN = lsn - 5
 			}
 		}
 		if read = r.request(classArticle, token.Token{}); !r.isSent(read) {
@@ -25,7 +25,7 @@
 		}
 		r.reply(r.sent(read))
 		r.run(700 * ms)
-		if place > 1500 {
+		if lsn > 1500 {
 			t.Fatal("every read finds a replica that is proven recent enough")
 		}
 	}
--- a/driver/connlimit.go
+++ b/driver/connlimit.go
@@ -13,8 +13,8 @@
 //     connection is enough to serve requests.
 //   - Connections unused for contendedIdleClose are closed, except the last.
 //
-// This ends when the node accepts a connection again. A configured limit divided by the number of drivers served
-// the same shares, within 0.005, or less by up to 0.015 of all requests.
+// This ends when the node accepts a connection again. The alternative, a configured limit divided by the number of
+// drivers, served the same share of all requests within 0.005, or a share lower by up to 0.015.
 const (
 	minDialBackoff     = 100 * time.Millisecond
 	maxDialBackoff     = 2 * time.Second
@@ -65,7 +65,8 @@
 	return e.cfg.IdleClose
 }
 
-// takeProber lends the prober to a request at a node's connection limit, where no other connection is available.
+// takeProber turns an idle prober into a connection for requests at the node's connection limit, where no other is
+// available; nil if it can't.
 func (e *Engine) takeProber(n *node) *conn {
 	c := n.prober
 	if c == nil || c.state != idle || n.pollPending || !n.atConnLimit() {
@@ -76,8 +77,8 @@
 	return c
 }
 
-// pollOnIdle polls a node over its prober or, at the node's connection limit, over an idle connection; false if
-// none is idle.
+// pollOnIdle polls a node over its prober or, at the node's connection limit, over an idle connection. It reports
+// false if none is idle.
 func (e *Engine) pollOnIdle(n *node) bool {
 	if c := n.prober; c != nil {
 		if c.state != idle {
@@ -98,7 +99,7 @@
 	return true
 }
 
-// queuePoll makes a poll wait for a busy connection at the node's connection limit, and reports whether it does.
+// queuePoll queues a poll for a busy connection at the node's connection limit, and reports whether it did.
 func (n *node) queuePoll() bool {
 	n.pollQueued = n.atConnLimit() && n.Busy > n.Dialing
 	return n.pollQueued
@@ -111,7 +112,7 @@
 	e.sendPoll(c)
 }
 
-// lendProber gives the prober to a queued request, at the node's connection limit.
+// lendProber hands the prober over to the oldest queued attempt, at the node's connection limit.
 func (e *Engine) lendProber(n *node) {
 	a := e.nextQueued(n)
 	if a == nil {
--- a/driver/conns.go
+++ b/driver/conns.go
@@ -22,7 +22,7 @@
 	queue          []*attempt
 	prober         *conn         // connection reserved for polls; nil if there is none
 	pollPending    bool          // the router waits for the result of a poll
-	polls          uint64        // number of polls started, repeats within a poll not counted
+	polls          uint64        // number of polls that the router requested
 	repollPause    time.Duration // delay before the last repeat within the current poll; 0 before the first
 	pollStarted    time.Duration
 	pollQueued     bool // the poll waits for a busy connection to become idle
@@ -36,8 +36,10 @@
 	knownUpstream  string        // address it streams from by its last poll, or by a later answer that names one
 	clock          nodeClock
 
-	lastAnswer, failingSince time.Duration // last answer; first failure since then; 0 for none
-	failure                  string        // last error while it could not be reached
+	// lastAnswer is the time of its last answer, failingSince that of the first failure to reach it since then; 0 for
+	// none.
+	lastAnswer, failingSince time.Duration
+	failure                  string // last error while it could not be reached
 }
 
 // connState is the state of a connection. The transitions are in life.go.
@@ -58,9 +60,9 @@
 	isProber      bool     // it is its node's prober
 	attempt       *attempt // whose exchange is in flight
 	sentAt        time.Duration
-	usedAt        time.Duration
-	reapScheduled bool // the timer that closes it when idle is set
-	canceled      bool // a cancel was sent; it could hit any later statement on the connection
+	usedAt        time.Duration // when it last became idle
+	reapScheduled bool          // a timer is set that closes it if it has been idle for Config.IdleClose
+	canceled      bool          // a cancel was sent; it could cancel any later statement on the connection
 }
 
 // attemptState is the state of an attempt. The transitions are in life.go.
@@ -121,7 +123,7 @@
 	return s
 }
 
-// withNodeNames returns a log text of the router, which knows only numbers, with node names in it.
+// withNodeNames returns a log text of the router with node names in place of the router's node numbers.
 func (e *Engine) withNodeNames(text string) string {
 	if id, ok := balance.LoggedPrimary(text); ok && e.nodes[id] != nil {
 		n := e.nodes[id]
@@ -151,7 +153,7 @@
 	if e.rejectIfBlocked(a) {
 		return
 	}
-	deadline := q.ask.Deadline - e.cfg.AnswerMargin
+	deadline := q.params.Deadline - e.cfg.AnswerMargin
 	if action.After > 0 {
 		deadline = min(deadline, e.now+action.After)
 	}
@@ -270,8 +272,8 @@
 	}
 }
 
-// scheduleReap sets a timer that closes a connection if it has been idle for the idle timeout by then, and checks
-// again later if not.
+// scheduleReap sets a timer that closes the connection if it has then been idle for the idle timeout, and that
+// checks again later if not.
 func (e *Engine) scheduleReap(c *conn, at time.Duration) {
 	e.timers.Set(at, func(time.Duration) {
 		keep := e.idleTimeout(c.node)
@@ -358,8 +360,8 @@
 	e.endAttempt(a, balance.Event{Outcome: balance.OutcomeCancelled})
 }
 
-// abandon lets an attempt's connection linger until the reply comes or Config.Linger has passed. If it were
-// reused, the late reply would be taken for that of the next exchange.
+// abandon keeps an attempt's connection open, but not in use, until the reply arrives or Config.Linger has passed.
+// If it were reused, the late reply would be taken for that of the next exchange.
 func (e *Engine) abandon(a *attempt) {
 	c := a.conn
 	if c.state != busy {
@@ -424,8 +426,8 @@
 	return forgotten > 0 && c.sentAt <= forgotten
 }
 
-// dropStaleFacts removes from a result the facts that were asked for before an operator's Forget. After a restore
-// from a backup they describe the old history, whose newer term would fence off the restored primary.
+// dropStaleFacts removes the facts from a result whose exchange was sent before an operator's Forget. After a
+// restore from a backup they describe the old history, whose newer term would fence off the restored primary.
 func (c *conn) dropStaleFacts(r *Result) {
 	if c.predatesForget() {
 		r.Facts, r.After = Facts{}, Facts{}
@@ -465,7 +467,8 @@
 func (e *Engine) settleAttempt(a *attempt, r *Result, sentAt time.Duration) {
 	q, v := a.request, Classify(r)
 	if q.class.Need == balance.NeedWrite && a.node.blocked() && (r.Done || v.Outcome == balance.OutcomeCancelled) {
-		v = Classification{Outcome: balance.OutcomeReset} // its work was revoked at a deposed primary, or committed on an abandoned timeline
+		// It was canceled at a deposed primary, or committed on an abandoned timeline.
+		v = Classification{Outcome: balance.OutcomeReset}
 	}
 	ev := balance.Event{Outcome: v.Outcome}
 	e.addFacts(&ev, q, a.node, r.Facts, sentAt)
@@ -489,8 +492,8 @@
 // serve sends the client the answer and records the session's new position.
 func (e *Engine) serve(q *request, a *attempt, r *Result) {
 	at := q.observedPosition(r)
-	if r.Done && e.cfg.DriverSessions && q.ask.Session != "" {
-		e.sessions.observe(q.ask.Slice, q.ask.Session, at, e.now)
+	if r.Done && e.cfg.DriverSessions && q.params.Session != "" {
+		e.sessions.observe(q.params.Slice, q.params.Session, at, e.now)
 	}
 	e.answer(q, e.buildAnswer(q, a, r, at))
 }
@@ -511,21 +514,21 @@
 }
 
 func (e *Engine) buildAnswer(q *request, a *attempt, r *Result, at position.Position) Answer {
-	var holds token.Token
+	var lowerBound token.Token
 	if r.Facts.Known && q.class.Need != balance.NeedWrite {
-		holds = holds.With(q.ask.Slice, r.Facts.LowerBound())
+		lowerBound = lowerBound.With(q.params.Slice, r.Facts.LowerBound())
 	}
 	switch {
 	case q.need.LSN != position.UnknownLSN:
 		at = at.Join(q.need)
 	case q.class.Need == balance.NeedWrite: // the write's position replaces an unknown one, but not transactions seen at a replica
 		at.Transactions = at.Transactions.Union(q.need.Transactions)
-	} // else the read showed everything behind the unknown position, and its own position says more
-	tok := e.prunedToken(q.ask.Token, q.slice)
-	if q.ask.TokenLost {
+	} // else the read satisfied the unknown position, and its own position replaces it
+	tok := e.prunedToken(q.params.Token, q.slice)
+	if q.params.TokenLost {
 		tok = tok.WithPresent() // the lost token may be for any slice; for this slice the answer settles it
 	}
-	return Answer{Status: Served, Token: tok.With(q.ask.Slice, at), LowerBound: holds, Node: a.node.entry.Name,
+	return Answer{Status: Served, Token: tok.With(q.params.Slice, at), LowerBound: lowerBound, Node: a.node.entry.Name,
 		Zone: a.node.entry.Zone, Facts: r.Facts, Payload: r.Payload, Attempts: len(q.attempts)}
 }
 
@@ -550,5 +553,6 @@
 	}
 	a.streaming = true
 	e.notifyRouter(balance.Event{Kind: balance.EventStreaming, Request: q.id, Attempt: a.number, Server: a.node.id, Age: e.now - a.startedAt})
-	e.cmds = append(e.cmds, Command{Kind: CommandStartStream, Conn: c.id, Request: q.id, Answer: e.buildAnswer(q, a, r, r.Facts.Position)}) // the token comes with the end of the stream
+	// The token that covers the rows is sent at the end of the stream.
+	e.cmds = append(e.cmds, Command{Kind: CommandStartStream, Conn: c.id, Request: q.id, Answer: e.buildAnswer(q, a, r, r.Facts.Position)})
 }
--- a/driver/engine.go
+++ b/driver/engine.go
@@ -20,22 +20,25 @@
 // Router.DialTimeout is not positive, or AnswerMargin is negative.
 type Config struct {
 	Router           balance.Config
-	Zones            []string      // names of availability zones; the index of a name is the router's zone number
+	Zones            []string      // names of availability zones by the router's zone number; others count as number 0
 	DriverSessions   bool          // track sessions in this driver too, besides the clients' tokens
-	SessionBytes     int           // memory limit for tracked sessions, in bytes
+	SessionBytes     int           // memory limit for tracked sessions, in bytes; 0 tracks none
 	Sessions         *SessionState // tracked sessions of an earlier run, nil for none
 	SessionsComplete bool          // Sessions covers every answer of the earlier run, or there was no earlier run
 	MaxOpen          int           // most requests open at once
 	PoolSize         int           // most connections to one node
-	IdleClose        time.Duration
-	Linger           time.Duration // how long a connection stays open for an answer that nobody awaits
-	PollTimeout      time.Duration
-	ClockAge         time.Duration        // a poll of a replica polls the primary too if the primary's position is older than this
-	MissingToken     []MissingTokenPolicy // by class: policy for a session read without a token
-	StartWithin      time.Duration        // a write that its node has not started within this time must not start; 0 for no limit
-	Topology         *topology.State      // topology of an earlier run, nil for none
-	AnswerMargin     time.Duration        // the router's deadline is earlier than the client's by this much
-	CancelWork       bool                 // cancel at the node safe work that nobody awaits
+	IdleClose        time.Duration // an unused connection for requests is closed after this time, at most a quarter later
+	Linger           time.Duration // how long a connection stays open for a reply that nobody awaits
+	PollTimeout      time.Duration // time limit of one poll
+	// ClockAge is the age of the primary's position above which a poll of a replica polls the primary too.
+	ClockAge     time.Duration
+	MissingToken []MissingTokenPolicy // by class: policy for a session read without a token
+	// StartWithin is the time within which a node must start a write that was sent to it; 0 for no limit. It applies
+	// at nodes that report their clock.
+	StartWithin  time.Duration
+	Topology     *topology.State // topology of an earlier run, nil for none
+	AnswerMargin time.Duration   // the router's deadline is earlier than the client's by this much
+	CancelWork   bool            // cancel at the node safe work that nobody awaits
 }
 
 func (c *Config) check() error {
@@ -52,7 +55,7 @@
 	return nil
 }
 
-// MissingTokenPolicy is the policy for a session read that comes without its token.
+// MissingTokenPolicy is the policy for a session read without its token.
 type MissingTokenPolicy uint8
 
 // The policies for a read without its token.
@@ -96,25 +99,24 @@
 	group           int
 	clock           position.Clock
 	topo            *topology.Slice
-	primary         *node // holds office by the topology ledger; nil if none does
+	primary         *node // by the verdict of topo; nil if there is none
 	reportedPrimary *node // primary last reported to the router
 	suspicion       suspicion
 	lossTimeline    uint32 // timeline whose start was last checked for lost commits
 	nodes           []*node
 	waiting         int           // requests without a final answer and without an attempt in flight
 	provenAsOf      time.Duration // latest time as of which a replica was proven to have all commits
-	// forgotten is when an operator last called Forget for the slice.
-	forgotten time.Duration
+	forgotten       time.Duration // when an operator last called Forget for the slice; 0 for never
 }
 
 // request is one client request. It is kept until it has its final answer and no attempt is in flight.
 type request struct {
 	id        RequestID
-	ask       RequestParams
+	params    RequestParams
 	class     *balance.Class
 	slice     *slice
 	need      position.Position // position that a read must see; zero for none
-	tokenNeed position.Position // position that the token or session asks for; need may be the latest position instead
+	tokenNeed position.Position // position that the token or session requires; need may be the latest position instead
 	attempts  []*attempt
 	inFlight  int
 	done      bool // it has its final answer, or its client disconnected
@@ -173,8 +175,8 @@
 // Conns returns the number of connections, including those being opened.
 func (e *Engine) Conns() int { return len(e.conns) }
 
-// NextTimer returns the time of the next timer, at which Step must be called even without events; false if no timer is
-// set.
+// NextTimer returns the time of the next timer, at which Step must be called even without events; false if no
+// timer is set.
 func (e *Engine) NextTimer() (time.Duration, bool) { return e.timers.Next() }
 
 // Step handles the events since the last call, all at the time now, and appends the resulting commands to cmds in
@@ -272,7 +274,7 @@
 		e.cmds = append(e.cmds, Command{Kind: CommandAnswer, Request: ev.Request, Answer: Answer{Status: Refused, Cause: cause}})
 		return
 	}
-	q := &request{id: ev.Request, ask: ev.Params, class: &e.cfg.Router.Classes[ev.Params.Class], slice: e.slices[ev.Params.Slice]}
+	q := &request{id: ev.Request, params: ev.Params, class: &e.cfg.Router.Classes[ev.Params.Class], slice: e.slices[ev.Params.Slice]}
 	if cause := e.resolveNeed(q); cause != CauseNone {
 		e.cmds = append(e.cmds, Command{Kind: CommandAnswer, Request: ev.Request, Answer: Answer{Status: Refused, Cause: cause}})
 		return
@@ -280,7 +282,7 @@
 	e.requests[q.id] = q
 	e.held++
 	q.slice.waiting++
-	class, sinceWrite := q.ask.Class, e.sinceWrite(q)
+	class, sinceWrite := q.params.Class, e.sinceWrite(q)
 	if sinceWrite > 0 && e.tokenClasses[class] != class {
 		if q.class.Need == balance.NeedBounded {
 			sinceWrite = min(sinceWrite, q.class.Bound)
@@ -288,38 +290,38 @@
 		class = e.tokenClasses[class]
 	}
 	e.notifyRouter(balance.Event{Kind: balance.EventRequest, Request: q.id, Class: class, Group: q.slice.group,
-		Key: xxhash.Sum64String(q.ask.Session), Deadline: q.ask.Deadline - e.cfg.AnswerMargin, SinceWrite: sinceWrite})
+		Key: xxhash.Sum64String(q.params.Session), Deadline: q.params.Deadline - e.cfg.AnswerMargin, SinceWrite: sinceWrite})
 }
 
-// resolveNeed sets the position that a read must see. It returns a cause if the token rules out serving the
-// request: a foreign token, a missing one, or one for a write that a promotion lost. It guards against reads that do
-// not see their session's writes.
+// resolveNeed sets the position that a read must see. It guards against reads that do not see their session's
+// writes, and returns a cause if the token rules out serving the request: a foreign token, a missing one, or one for
+// a write that a promotion lost.
 func (e *Engine) resolveNeed(q *request) Cause {
-	if e.isForeign(q.ask.Token) {
+	if e.isForeign(q.params.Token) {
 		return CauseForeignToken
 	}
-	need, named := q.ask.Token.Position(q.ask.Slice)
-	if e.cfg.DriverSessions && q.ask.Session != "" {
-		at := e.sessions.required(q.ask.Slice, q.ask.Session)
+	need, named := q.params.Token.Position(q.params.Slice)
+	if e.cfg.DriverSessions && q.params.Session != "" {
+		at := e.sessions.required(q.params.Slice, q.params.Session)
 		need, named = need.Join(at), named || !at.IsZero()
 	}
-	asked := need
-	if q.class.Need == balance.NeedSession && (!named || q.ask.TokenLost) {
-		switch policy := e.tokenless(q.ask.Class); {
+	tokenNeed := need
+	if q.class.Need == balance.NeedSession && (!named || q.params.TokenLost) {
+		switch policy := e.missingTokenPolicy(q.params.Class); {
 		case policy == MissingTokenRefuse:
 			return CauseTokenMissing
-		case policy == MissingTokenPrimary || q.ask.TokenLost:
+		case policy == MissingTokenPrimary || q.params.TokenLost:
 			need = position.Present
 		}
 	}
-	if q.class.Need != balance.NeedWrite && q.slice.clock.Lost(asked) {
+	if q.class.Need != balance.NeedWrite && q.slice.clock.Lost(tokenNeed) {
 		return CauseTokenLost
 	}
-	q.need, q.tokenNeed = need, asked
+	q.need, q.tokenNeed = need, tokenNeed
 	return CauseNone
 }
 
-func (e *Engine) tokenless(class int) MissingTokenPolicy {
+func (e *Engine) missingTokenPolicy(class int) MissingTokenPolicy {
 	if class < len(e.cfg.MissingToken) {
 		return e.cfg.MissingToken[class]
 	}
@@ -332,9 +334,9 @@
 	return len(ids) > 0 && !slices.ContainsFunc(ids, func(id token.SliceID) bool { return len(e.byToken[id]) > 0 })
 }
 
-// unservable returns why a read can never be served, by what its slice's primary reported after the request came:
-// its token is ahead of the whole log, or stands for a write that a promotion lost. Without this check such a read
-// would be retried until its deadline.
+// unservable returns why a read can never be served, by what its slice's primary reported since the request
+// arrived: its token is ahead of the whole log, or represents a write that a promotion lost. Without this check such
+// a read would be retried until its deadline.
 func (q *request) unservable(n *node, f Facts) Cause {
 	switch {
 	case q.done || !f.Known || f.Replica || q.tokenNeed.LSN == position.UnknownLSN || n.deposed(f):
@@ -400,21 +402,21 @@
 	return CauseNone
 }
 
-// sinceWrite returns the router's measure of a read's need: the age of the newest write the read must see; 0 if it
-// need not see any.
+// sinceWrite returns a read's need in the router's terms: a node proven to have all commits as of this long ago has
+// what the read must see. It is 0 if the read need not see any write.
 func (e *Engine) sinceWrite(q *request) time.Duration {
 	if q.need.IsZero() {
 		return 0
 	}
 	by, ok := q.slice.clock.ReachedBy(q.need)
 	if !ok {
-		return 1 // the position is not on the clock yet: require the latest
+		return 1 // no observed position reaches it yet: require the latest
 	}
 	return max(1, e.now-by)
 }
 
-// handleClientLeft ends a request whose client disconnected. Exchanges in flight stay so, and their connections
-// busy, until they end.
+// handleClientLeft ends a request whose client disconnected. Its exchanges in flight go on, and their connections
+// stay busy until the replies arrive.
 func (e *Engine) handleClientLeft(id RequestID) {
 	q := e.requests[id]
 	if q == nil || q.done {
--- a/driver/engine_test.go
+++ b/driver/engine_test.go
@@ -90,7 +90,7 @@
 	r.nodes["p"].facts = primary(at(1, 1200))
 	r.reply(c)
 	if got, _ := r.answer(id).Token.Position("news"); got != at(1, 1200) {
-		t.Errorf("the token still asks for %v", got)
+		t.Errorf("the token still requires %v", got)
 	}
 	r.checkIdle()
 }
@@ -642,7 +642,7 @@
 	r.reply(c)
 	a := r.answer(id)
 	if got, _ := a.Token.Position("news"); a.Status != Served || got != at(2, 1000) {
-		t.Errorf("at %s: %+v; its token is beyond what the answer holds", c.Node, a)
+		t.Errorf("at %s: %+v; its token is beyond the answer's position", c.Node, a)
 	}
 	r.checkIdle()
 }
@@ -656,19 +656,19 @@
 		for _, n := range r.nodes {
 			n.silent = true
 		}
-		asked := map[string]ConnID{}
-		for len(asked) < 3 {
+		polled := map[string]ConnID{}
+		for len(polled) < 3 {
 			at, _ := r.e.NextTimer()
 			r.now = at
 			for _, c := range r.e.Step(r.now, nil, nil) {
 				if c.Kind == CommandReadFacts {
-					asked[r.connAt[c.Conn]] = c.Conn
+					polled[r.connAt[c.Conn]] = c.Conn
 				}
 			}
 		}
 		r.now += 200 * time.Second
 		var answers []Event
-		for name, conn := range asked {
+		for name, conn := range polled {
 			answers = append(answers, Event{Kind: EventResult, Conn: conn, Result: Result{Facts: r.nodes[name].facts}})
 		}
 		step := r.e.Step
--- a/driver/event.go
+++ b/driver/event.go
@@ -26,8 +26,8 @@
 	Slice   string
 	Zone    string
 	Life    balance.Life
-	// Instance distinguishes nodes that share a name and an address but count as separate nodes, as when a drain
-	// is called off: decisions made about the former instance stay final for it.
+	// Instance distinguishes nodes that share a name and an address but count as separate nodes. A node whose drain
+	// is called off is listed under a new instance, as decisions about the draining one are final.
 	Instance int
 	Started  time.Duration // last start of its process on the engine's clock; 0 if long ago or not reported
 }
@@ -66,8 +66,8 @@
 	Err          *pgwire.Error // the node's error, nil if none
 	InFactsQuery bool          // Err answers the driver's own query for facts, not the statement
 	GuardFailed  bool          // Err comes from the guard before a write: nothing ran
-	Facts        Facts         // read before a read, after a write
-	After        Facts         // read after a read: what the read saw lies at or before this position
+	Facts        Facts         // from before the statement if it reads, from after it if it writes
+	After        Facts         // from after a statement that reads: what it saw lies at or before this position
 	Payload      any           // opaque to the engine; returned with the answer
 }
 
@@ -80,7 +80,7 @@
 	EventClientLeft                     // Request: its client disconnected
 	EventDialed                         // Conn: it is open, or Dial says why not
 	EventResult                         // Conn, Result: its exchange ended
-	EventStreamStarted                  // Conn, Result.Facts: the first rows of a streamed answer are there
+	EventStreamStarted                  // Conn, Result.Facts: the first rows of a streamed answer have arrived
 	EventClosed                         // Conn: it closed with no exchange in flight
 	EventNodeList                       // List, Nodes: the node list or a change of it
 	EventStop                           // Until: accept no new requests, and answer all open ones by then
@@ -90,7 +90,7 @@
 type RequestParams struct {
 	Class     int // index in Config.Router.Classes
 	Slice     string
-	Session   string
+	Session   string // "" for none
 	Token     token.Token
 	TokenLost bool          // the client had a token that was lost in transit
 	Deadline  time.Duration // when the client gives up, on the engine's clock
@@ -191,11 +191,11 @@
 	RetryAfter time.Duration // advice with a refusal, 0 for none
 	Token      token.Token   // covers everything the client has seen, this answer included
 	LowerBound token.Token   // of a read: the answer shows everything at or before this position; for caches
-	Node       string
-	Zone       string
-	Facts      Facts
-	Attempts   int
-	Payload    any
+	Node       string        // name of the node that served the request; "" for a refusal or failure
+	Zone       string        // zone of that node
+	Facts      Facts         // Result.Facts of the answer
+	Attempts   int           // number of attempts started for the request
+	Payload    any           // Result.Payload of the answer
 }
 
 // Guard is what a node must check in the transaction of a write, before the write runs: that it is not a replica,
--- a/driver/facts.go
+++ b/driver/facts.go
@@ -9,8 +9,8 @@
 	"umberladder/topology"
 )
 
-// poll starts a poll of a node for its role and log position, over the node's prober if there is capacity for that
-// connection.
+// poll starts a poll of a node for its role and log position. It uses the node's prober and opens one if there is
+// none; at the node's connection limit it uses an idle connection or waits for a busy one.
 func (e *Engine) poll(n *node) {
 	if n == nil {
 		return
@@ -42,8 +42,8 @@
 	} // else the prober is busy with an unrequested poll, whose result counts for this one too
 }
 
-// pollPrimaryIfStale polls the slice's primary too if its last log position is too old: a replica's position is
-// judged by comparison with the primary's, so that without a newer one the poll of a replica proves nothing new.
+// pollPrimaryIfStale polls the slice's primary too if its last log position is older than Config.ClockAge. A
+// replica's position is compared with the primary's, so without a newer one the poll of a replica proves nothing new.
 func (e *Engine) pollPrimaryIfStale(n *node) {
 	p := n.slice.primary
 	if p == nil || p == n || p.pollPending || p.entry.Life != balance.LifeReady {
@@ -130,7 +130,7 @@
 	e.notifyRouter(ev)
 }
 
-// recordFacts records what a node reported: its clock, its entry in the ledger, and the slice's log positions.
+// recordFacts records what a node reported: its clock, its role and timeline, and the slice's log positions.
 // Positions from a stale primary or another cluster are left out, as they would make replicas look more recent
 // than they are.
 func (e *Engine) recordFacts(n *node, f Facts, sentAt time.Duration, poll bool) {
@@ -147,7 +147,7 @@
 	if poll {
 		channel = topology.Poll
 	}
-	e.updateLedger(n, f, sentAt, channel)
+	e.updateTopology(n, f, sentAt, channel)
 	if n.deposed(f) {
 		return
 	}
@@ -163,9 +163,9 @@
 	}
 }
 
-// provenTime returns a node's position as the router counts it, a time as of which the node has all commits: for a
-// primary, when it was asked; for a replica, what the slice's clock proves. It is false if the node has no such
-// position.
+// provenTime returns a node's position as the router counts it, a time as of which the node has all commits, since
+// Router.Origin: for a primary, when its report was requested; for a replica, what the slice's clock proves. It
+// returns false if the node has no such position.
 func (e *Engine) provenTime(n *node, f Facts, sentAt time.Duration) (time.Duration, bool) {
 	s := n.slice
 	switch {
@@ -185,10 +185,10 @@
 }
 
 // pollReport converts the reply to a poll for the router. A stale primary counts as a failed node, as it may get
-// no requests and its position is no point in the slice's log.
+// no requests and its position is not one of the slice's log.
 func (e *Engine) pollReport(n *node, f Facts, sentAt time.Duration) (balance.Outcome, balance.Report) {
 	if n.slice.topo.Status(n.entry.Name) == topology.Rival {
-		return balance.OutcomeOK, balance.Report{} // reachable, and may hold office again without a restart
+		return balance.OutcomeOK, balance.Report{} // reachable, and may be accepted as primary again without a restart
 	}
 	if n.deposed(f) {
 		return balance.OutcomeError, balance.Report{}
@@ -238,8 +238,8 @@
 }
 
 // covers reports whether a node with these facts has, and shows, what need requires. A position of an older
-// timeline that survived lies before the promotion, and so in every node of the newer timeline that has come as
-// far.
+// timeline that survived lies before the promotion, and so every node of the newer timeline that has reached its LSN
+// has it.
 func covers(f Facts, need position.Position) bool {
 	visible := f.visiblePosition()
 	switch {
@@ -269,11 +269,11 @@
 // LowerBound returns a position such that an answer read after these facts shows everything at or before it, for any
 // reader at any time.
 //
-// At a primary a commit's record is in the log before the commit is visible. The token of whoever saw the commit
-// has a position that was read after it became visible. If that position lies before this one, the commit was
-// visible before this one was read; if they are equal, it may not have been. So a primary's answer shows
-// everything before its position, and a replica's everything up to it. That the reader asked for this very
-// position makes no difference: another token with the same position may stand for more.
+// At a primary a commit's record is in the log before the commit is visible. The token of a client that saw the
+// commit has a position that was read after the commit became visible. If that position lies before this one, the
+// commit was visible before this one was read; if they are equal, it may not have been. So a primary's answer shows
+// everything before its position, and a replica's everything up to it. A reader that required this very position
+// gets no higher bound: another token with the same position may require more.
 func (f *Facts) LowerBound() position.Position {
 	at := f.visiblePosition()
 	if !f.Replica && at.LSN > 0 {
@@ -299,8 +299,8 @@
 	return at
 }
 
-// reaches is covers for a node of this slice: a replica that is proven to have entered a newer timeline has
-// everything that the older one kept, even if the needed position is unknown.
+// reaches reports whether a node of this slice covers need, or is a replica proven to have entered a newer timeline:
+// it then has everything that was kept of the older one, even if the position needed there is unknown.
 func (s *slice) reaches(f Facts, need position.Position) bool {
 	if need.LSN == position.UnknownLSN && !need.IsPresent() && f.Replica && f.Position.Timeline > need.Timeline {
 		_, proven := s.clock.AppliedBy(f.Position)
--- a/driver/life.go
+++ b/driver/life.go
@@ -6,7 +6,7 @@
 // which report every transition that is not in these tables. docs/life.md has the same tables with the cause of
 // each transition, and a test compares them.
 
-// Transition is a legal transition of a connection or an attempt: Of is "connection" or "attempt", From and To are state
+// Transition is a transition of a connection or an attempt: Of is "connection" or "attempt", From and To are state
 // names.
 type Transition struct{ Of, From, To string }
 
@@ -126,7 +126,7 @@
 	}
 	for n, k := range counts {
 		if n.Busy != k.busy || n.Dialing != k.dials || len(n.Idle) != k.idle {
-			return fmt.Errorf("node %s counts %d busy, %d dialling, %d idle connections; there are %d, %d, %d", n.entry.Name, n.Busy, n.Dialing, len(n.Idle), k.busy, k.dials, k.idle)
+			return fmt.Errorf("node %s counts %d busy, %d dialing, %d idle connections; there are %d, %d, %d", n.entry.Name, n.Busy, n.Dialing, len(n.Idle), k.busy, k.dials, k.idle)
 		}
 	}
 	held, waiting := 0, map[*slice]int{}
--- a/driver/outcome.go
+++ b/driver/outcome.go
@@ -4,9 +4,9 @@
 	"umberladder/balance"
 )
 
-// SQLSTATEs that tell more than that the statement failed. docs/outcomes.md has the whole table.
+// SQLSTATEs that say more than that the statement failed. docs/outcomes.md has the whole table.
 const (
-	codeReadOnlyTransaction  = "25006" // read_only_sql_transaction: a replica was asked to write
+	codeReadOnlyTransaction  = "25006" // read_only_sql_transaction: a write at a replica
 	codeTooManyConnections   = "53300" // too_many_connections
 	codeCannotConnectNow     = "57P03" // cannot_connect_now: starting up, shutting down, in recovery
 	codeAdminShutdown        = "57P01" // admin_shutdown
@@ -32,9 +32,9 @@
 //	broken otherwise, answer incomplete    Reset           may have run
 //	broken after the commit was answered   OK              the answer is valid, only its position is missing
 //	the guard before a write               Miss            not primary, or too late; nothing ran
-//	25006                                  Miss            a replica was asked to write; nothing ran
+//	25006                                  Miss            a write sent to a replica; nothing ran
 //	53300, 57P03                           Full            no connections accepted; nothing ran
-//	57014                                  Cancelled       cancelled on request
+//	57014                                  Cancelled       canceled on request
 //	40001, 40P01 of a replica              Error           conflict with recovery; reads may go to another node
 //	any other to the driver's own query    Error           the node can't report its facts; nothing ran
 //	classes 53, 57, 58, XX                 Error           the node is in trouble
--- a/driver/sessions.go
+++ b/driver/sessions.go
@@ -11,9 +11,9 @@
 // sessionCost is the memory of one tracked session beside its names, in bytes, rounded up.
 const sessionCost = 200
 
-// sessions tracks, where the driver itself follows sessions, the position up to which each has written or seen.
-// Evicting one loses no guarantee: unless every node has passed its position, that raises its slice's floor, which
-// holds for all sessions not tracked.
+// sessions tracks, with Config.DriverSessions, the position up to which each session has written or read. Evicting a
+// session loses no guarantee: unless every node has passed its position, that position raises its slice's floor, and
+// every session of the slice must see the floor.
 type sessions struct {
 	tracked  *simplelru.LRU[sessionKey, trackedSession]
 	bytes    int
@@ -21,10 +21,12 @@
 	floor    map[string]position.Position
 	// floorUnknown is set after a restart without complete state: an untracked session may have written through
 	// the earlier run, so it requires the latest position until the primary has reported one.
-	floorUnknown  bool
-	restoredAt    time.Duration
-	reportedAfter func(slice string, since time.Duration) (position.Position, bool) // a position that the primary reported after a time
-	passedByAll   func(slice string, at position.Position) bool                     // whether every node is at or beyond a position
+	floorUnknown bool
+	restoredAt   time.Duration
+	// reportedAfter returns a position that the slice's primary reported after a time, false if there is none.
+	reportedAfter func(slice string, since time.Duration) (position.Position, bool)
+	// passedByAll reports whether every node of the slice is at or beyond a position.
+	passedByAll func(slice string, at position.Position) bool
 }
 
 type sessionKey struct{ slice, session string }
@@ -89,12 +91,12 @@
 
 // SessionState is the tracked sessions, to be kept for the next run of the driver.
 type SessionState struct {
-	Sessions []SessionPlace               `cbor:"1,keyasint"`
+	Sessions []SessionPosition            `cbor:"1,keyasint"`
 	Floors   map[string]position.Position `cbor:"2,keyasint"`
 }
 
-// SessionPlace is the position up to which a session has written or seen a slice.
-type SessionPlace struct {
+// SessionPosition is the position up to which a session has written or read in a slice.
+type SessionPosition struct {
 	Slice   string            `cbor:"1,keyasint"`
 	Session string            `cbor:"2,keyasint"`
 	At      position.Position `cbor:"3,keyasint"`
@@ -106,7 +108,7 @@
 	st := &SessionState{Floors: e.sessions.floor}
 	for _, key := range e.sessions.tracked.Keys() {
 		known, _ := e.sessions.tracked.Peek(key)
-		st.Sessions = append(st.Sessions, SessionPlace{key.slice, key.session, known.at})
+		st.Sessions = append(st.Sessions, SessionPosition{key.slice, key.session, known.at})
 	}
 	return st
 }
--- a/driver/suspect.go
+++ b/driver/suspect.go
@@ -10,9 +10,9 @@
 // The router polls nodes on timers with backoff, and sooner while requests wait for a primary. A driver without
 // such requests would detect a promotion late. So any evidence against a primary (a failed or refused connection
 // to it, a refused write, a replica that lost it, a newer term) starts rounds of polls of all nodes of the slice,
-// shared by all requests, until a node holds office by an answer to a later poll. The first round starts after a
-// random part of the pause between rounds, so that many drivers spread theirs; the pauses grow, and the rounds end
-// after maxSuspicion.
+// shared by all requests, until a node is accepted as primary by an answer to a later query. The first round starts
+// after a random part of the pause between rounds, so that many drivers spread theirs; the pauses grow, and the
+// rounds end after maxSuspicion.
 const (
 	maxSuspicion        = 15 * time.Second
 	minRoundPause       = 50 * time.Millisecond
@@ -40,7 +40,7 @@
 	e.timers.Set(e.now+first, func(time.Duration) { e.pollRound(s) })
 }
 
-// pollRound polls every node of a slice that can be polled at once, and schedules the next round.
+// pollRound polls every node of a slice that has no poll pending, and schedules the next round.
 func (e *Engine) pollRound(s *slice) {
 	if e.primaryConfirmed(s) || e.now-s.suspicion.since > maxSuspicion || e.stopped {
 		s.suspicion = suspicion{}
@@ -58,8 +58,8 @@
 	s.suspicion.pause = time.Duration(float64(s.suspicion.pause) * roundPauseGrowth)
 }
 
-// primaryConfirmed reports whether a node holds office by an answer to a poll sent since the suspicion began. An
-// earlier answer may come from a primary that has failed since.
+// primaryConfirmed reports whether the slice has a primary whose latest claim answers a query sent since the suspicion
+// began. An earlier answer may come from a primary that has failed since.
 func (e *Engine) primaryConfirmed(s *slice) bool {
 	if s.primary == nil {
 		return false
--- a/driver/topology.go
+++ b/driver/topology.go
@@ -11,12 +11,12 @@
 	"umberladder/topology"
 )
 
-// What nodes report about themselves goes into one ledger per slice (package topology). Its verdict reaches the
-// router as roles in the usual events. A node that the ledger accepts neither as primary nor as replica of the
-// slice gets no requests from then on; what is in flight there is ended by class.
+// What nodes report about themselves goes into one topology.Slice per slice. Its verdict reaches the router as roles
+// in the usual events. A node that is accepted neither as primary nor as replica of the slice gets no requests from
+// then on; the attempts in flight there end according to their class.
 
-// updateLedger enters a node's report into its slice's ledger and acts on a changed verdict.
-func (e *Engine) updateLedger(n *node, f Facts, sentAt time.Duration, channel topology.Channel) {
+// updateTopology adds a node's report to its slice's topology and acts on a changed verdict.
+func (e *Engine) updateTopology(n *node, f Facts, sentAt time.Duration, channel topology.Channel) {
 	s := n.slice
 	if f.System != 0 {
 		n.system = f.System
@@ -28,8 +28,8 @@
 			e.suspect(s)
 		}
 	}
-	if channel == topology.Answer && f.System == 0 && e.contradictsLedger(n, f) {
-		// An answer that contradicts the ledger and names no cluster counts only after a poll has confirmed it.
+	if channel == topology.Answer && f.System == 0 && e.contradictsTopology(n, f) {
+		// An answer that contradicts the topology and names no cluster counts only after a poll has confirmed it.
 		n.unconfirmed = true
 		e.suspect(s)
 		e.pollNow(n)
@@ -52,18 +52,18 @@
 	}
 }
 
-// contradictsLedger reports whether an answer without a cluster identifier would change the ledger, at a node
-// whose cluster is known. The node may have been replaced by one of another cluster, whose newer term would depose
+// contradictsTopology reports whether an answer without a cluster identifier, from a node whose cluster is known,
+// would change the verdict. The node may have been replaced by one of another cluster, whose newer term would depose
 // the slice's primary.
-func (e *Engine) contradictsLedger(n *node, f Facts) bool {
+func (e *Engine) contradictsTopology(n *node, f Facts) bool {
 	if n.system == 0 {
 		return false
 	}
-	standing := n.slice.topo.Status(n.entry.Name)
+	status := n.slice.topo.Status(n.entry.Name)
 	if f.Position.Timeline > n.slice.topo.Verdict().Term {
 		return true
 	}
-	return !f.Replica && (standing == topology.Follower || standing == topology.Unreported)
+	return !f.Replica && (status == topology.Follower || status == topology.Unreported)
 }
 
 // pollNow polls a node at once if a connection for that is idle and no poll is pending.
@@ -86,7 +86,7 @@
 	return ""
 }
 
-// verdictChanged acts on a new verdict of a slice's ledger.
+// verdictChanged acts on a new verdict about a slice: it deposes nodes and starts poll rounds if the primary is lost.
 func (e *Engine) verdictChanged(s *slice, was topology.Verdict) {
 	now := s.topo.Verdict()
 	if now.System != was.System && was.System != 0 {
@@ -99,7 +99,7 @@
 		s.lossTimeline = 0
 	}
 	for _, n := range s.nodes {
-		if standing := s.topo.Status(n.entry.Name); !standing.Routable() && standing != topology.Rival {
+		if status := s.topo.Status(n.entry.Name); !status.Routable() && status != topology.Rival {
 			e.depose(n)
 		}
 	}
@@ -149,8 +149,9 @@
 	e.refill(n)
 }
 
-// revoke ends the exchange on a connection to a deposed node. It guards against running a request twice: a read is
-// resent only after a cancel was sent, a keyed write only once the node has replied.
+// revoke ends the exchange on a connection to a deposed node. It guards against running a request twice at once: a
+// read is resent only after a cancel was sent, a keyed write only once the node has replied. Without
+// Config.CancelWork a read ends with its reply.
 func (e *Engine) revoke(c *conn) {
 	a, reset := c.attempt, balance.Event{Outcome: balance.OutcomeReset, Role: balance.RoleReplica}
 	switch {
@@ -165,8 +166,8 @@
 	}
 }
 
-// blocked reports whether a node may get no attempts by the latest reports, its own and those of other nodes. It
-// keeps requests from stale primaries and from nodes of another cluster.
+// blocked reports whether, by the latest reports of the slice's nodes, the node may get no attempts. It keeps
+// requests away from stale primaries and from nodes of another cluster.
 func (n *node) blocked() bool { return n.unconfirmed || !n.slice.topo.Status(n.entry.Name).Routable() }
 
 // deposed reports whether facts come from a stale primary, one that still reports itself as primary, or from a
@@ -195,7 +196,7 @@
 	}
 }
 
-// rejectIfBlocked ends an attempt at a node that may get none and reports whether it did. Nothing was written.
+// rejectIfBlocked ends an attempt before anything was written if its node is blocked, and reports whether it did.
 func (e *Engine) rejectIfBlocked(a *attempt) bool {
 	if !a.node.blocked() {
 		return false
@@ -261,7 +262,7 @@
 	sentAt time.Duration
 }
 
-// Topology returns the ledgers' state to be kept for the next run of the driver.
+// Topology returns the state of all slices' topologies, to be saved for the next run of the driver.
 func (e *Engine) Topology() *topology.State {
 	st := &topology.State{}
 	for _, name := range e.sliceNames() {
@@ -279,7 +280,7 @@
 	return names
 }
 
-// SliceView is a copy of one slice's ledger, for operators.
+// SliceView is what is known of one slice's topology, for operators.
 type SliceView struct {
 	Name    string
 	Verdict topology.Verdict
@@ -287,7 +288,7 @@
 	History []topology.Record
 }
 
-// SliceViews returns the ledgers of all slices, sorted by name.
+// SliceViews returns the topology of all slices, sorted by name.
 func (e *Engine) SliceViews() (all []SliceView) {
 	for _, name := range e.sliceNames() {
 		s := e.slices[name]
@@ -322,8 +323,8 @@
 	return strings.Join(names, ", ")
 }
 
-// Forget discards what is known of a slice, for use after a manual restore: the primary, positions and terms. It
-// returns an error if no slice has the name.
+// Forget discards what is known of a slice, for use after a manual restore from a backup: the primary, positions,
+// terms and fences. It returns an error if no slice has the name.
 func (e *Engine) Forget(name string) error {
 	s := e.slices[name]
 	if s == nil {
@@ -341,8 +342,8 @@
 	return nil
 }
 
-// restoreSlice loads what an earlier run recorded of a slice: terms and fenced nodes, so that a restarted driver does
-// not write at a stale primary. They only block nodes and make none primary.
+// restoreSlice loads what an earlier run recorded of a slice: terms and fences, so that a restarted driver does not
+// write at a stale primary. They only block nodes and make none primary.
 func (e *Engine) restoreSlice(s *slice) {
 	if e.cfg.Topology == nil {
 		return
--- a/driver/topology_test.go
+++ b/driver/topology_test.go
@@ -35,8 +35,8 @@
 	return false
 }
 
-// TestDeposedPrimaryGetsNoRequests: once any node reports a newer timeline, the old primary gets nothing, and what
-// is in flight there ends by class: a read moves, a keyed write is resent, an unsafe one fails.
+// TestDeposedPrimaryGetsNoRequests: once any node reports a newer timeline, the old primary gets no requests, and
+// the attempts in flight there end by class: a read moves, a keyed write is resent, an unsafe one fails.
 func TestDeposedPrimaryGetsNoRequests(t *testing.T) {
 	r := newHarness(t, longDeadlines(), fleetFacts())
 	fresh, unsafe, keyed := r.request(classDesk, token.Token{}), r.request(classWrite, token.Token{}), r.request(classPost, token.Token{})
@@ -126,8 +126,8 @@
 	r.checkIdle()
 }
 
-// TestSplitBrain: two nodes claim one timeline. No write is sent while neither holds office; writes resume once an
-// operator fences one, most nodes follow the other, or one becomes a replica.
+// TestSplitBrain: two nodes claim one timeline. No write is sent while neither is accepted as primary; writes
+// resume once an operator fences one, most nodes follow the other, or one becomes a replica.
 func TestSplitBrain(t *testing.T) {
 	for _, how := range []string{"fence", "followers", "one becomes a replica"} {
 		facts := map[string]Facts{"p": withCluster(primary(at(2, 1000)), 7, ""), "r1": withCluster(replica(at(2, 1000)), 7, ""), "r2": withCluster(replica(at(2, 1000)), 7, "")}
@@ -229,7 +229,7 @@
 	r.run(3 * time.Second)
 	n := 0
 	for _, line := range r.logLines {
-		if strings.Contains(line, "commits of timeline 1 beyond 0/BB8, up to 0/1388, were heard at p") {
+		if strings.Contains(line, "commits of timeline 1 beyond 0/BB8, up to 0/1388, were reported by p") {
 			n++
 		}
 	}
@@ -254,19 +254,19 @@
 	if r.run(300 * ms); !r.logged("r1 is primary") {
 		t.Errorf("not known after 300ms; %q", r.logLines)
 	}
-	asks := 0
+	polls := 0
 	for _, line := range r.commands[was:] {
 		if strings.Contains(line, "kind 2 ") {
-			asks++
+			polls++
 		}
 	}
-	if asks > 30 {
-		t.Errorf("%d polls in 300ms", asks)
+	if polls > 30 {
+		t.Errorf("%d polls in 300ms", polls)
 	}
 	if s := r.e.slices["news"]; s.suspicion.since != 0 {
 		r.run(2 * time.Second)
 		if s.suspicion.since != 0 {
-			t.Error("poll rounds continue though a node holds office")
+			t.Error("poll rounds continue though a primary is confirmed")
 		}
 	}
 	id := r.request(classWrite, token.Token{})
@@ -288,9 +288,9 @@
 	return 0
 }
 
-// TestDeposedWhileDialling: attempts that wait for a connection to a primary are not sent there if it is deposed
+// TestDeposedWhileDialing: attempts that wait for a connection to a primary are not sent there if it is deposed
 // meanwhile.
-func TestDeposedWhileDialling(t *testing.T) {
+func TestDeposedWhileDialing(t *testing.T) {
 	r := newHarness(t, longDeadlines(), fleetFacts())
 	r.nodes["p"].unreachable = true
 	id := r.request(classWrite, token.Token{})
@@ -310,9 +310,9 @@
 	r.checkIdle()
 }
 
-// TestDrainedWhileDialling: attempts that wait for a connection to a node are not sent there if its drain grace
+// TestDrainedWhileDialing: attempts that wait for a connection to a node are not sent there if its drain grace
 // ends meanwhile.
-func TestDrainedWhileDialling(t *testing.T) {
+func TestDrainedWhileDialing(t *testing.T) {
 	r := newHarness(t, longDeadlines(), fleetFacts())
 	var list []Node
 	for _, name := range []string{"p", "r1", "r2"} {
@@ -355,7 +355,7 @@
 		}
 		c := r.sent(id)
 		if c.Node != now || c.Guard.Timeline != timeline {
-			t.Errorf("promotion %d: written at %s on timeline %d, %s holds office on %d", i, c.Node, c.Guard.Timeline, now, timeline)
+			t.Errorf("promotion %d: written at %s on timeline %d, %s is primary on %d", i, c.Node, c.Guard.Timeline, now, timeline)
 		}
 		r.reply(c)
 	}
@@ -431,16 +431,15 @@
 	r.checkIdle()
 }
 
-// TestAnswerToQuestionFromBeforeForget: an answer does not count if its question was sent before an operator's
-// Forget. It describes the history from before the restore of a backup, whose newer term would fence off the
-// restored primary.
-func TestAnswerToQuestionFromBeforeForget(t *testing.T) {
+// TestAnswerToQueryFromBeforeForget: an answer does not count if its query was sent before an operator's Forget. It
+// describes the history from before the restore of a backup, whose newer term would fence off the restored primary.
+func TestAnswerToQueryFromBeforeForget(t *testing.T) {
 	for _, gap := range []time.Duration{0, 20 * ms} {
 		r := newHarness(t, testConfig(), fleetFacts())
 		r.run(500 * ms)
 		before := r.request(classDesk, token.Token{})
 		r.run(gap)
-		asked := r.sent(before)
+		stale := r.sent(before)
 		for _, n := range r.nodes {
 			n.silent = true
 		}
@@ -448,9 +447,9 @@
 			t.Fatal(err)
 		}
 		newer := withCluster(primary(at(9, 5000)), 7, "")
-		r.result(asked, Result{Started: true, Done: true, Facts: newer, After: newer})
+		r.result(stale, Result{Started: true, Done: true, Facts: newer, After: newer})
 		if v := r.e.SliceViews()[0]; v.Verdict.Term != 0 || len(v.Nodes) != 0 {
-			t.Errorf("an answer to a question from before Forget: %+v", v)
+			t.Errorf("an answer to a query from before Forget: %+v", v)
 		}
 		for name, n := range r.nodes {
 			n.silent = false
@@ -461,7 +460,7 @@
 		}
 		r.run(2000 * ms)
 		if v := r.e.SliceViews()[0]; v.Verdict.Term != 2 || v.Verdict.Primary != "p" {
-			t.Errorf("answers to questions since Forget: %+v", v.Verdict)
+			t.Errorf("answers to queries since Forget: %+v", v.Verdict)
 		}
 	}
 }
--- a/driver/visibility_test.go
+++ b/driver/visibility_test.go
@@ -29,7 +29,7 @@
 		t.Fatalf("its token is at %v though it saw 192", seen)
 	}
 	if held, _ := a.LowerBound.Position("news"); held.LSN != 128 {
-		t.Errorf("it holds %v for certain, though the position before it was 128", held)
+		t.Errorf("the lower bound is %v, though the position before the read was 128", held)
 	}
 	id := r.request(classOwn, a.Token)
 	r.run(50 * ms)
@@ -40,19 +40,19 @@
 }
 
 // TestRecordInReplayCountsAsShown: a replica shows a commit before its position moves past the record. The token's
-// position then lies past the record in replay: only a node that has replayed the record may serve it.
+// position lies past the record in replay: only a node that has replayed the record may serve it.
 func TestRecordInReplayCountsAsShown(t *testing.T) {
-	under := replica(at(1, 128))
-	under.Received = 192
-	r := newHarness(t, testConfig(), map[string]Facts{"p": primary(at(1, 192)), "r1": under, "r2": under})
-	seen, a := r.readAt(classOwn, token.Token{}, under, under)
+	replaying := replica(at(1, 128))
+	replaying.Received = 192
+	r := newHarness(t, testConfig(), map[string]Facts{"p": primary(at(1, 192)), "r1": replaying, "r2": replaying})
+	seen, a := r.readAt(classOwn, token.Token{}, replaying, replaying)
 	if seen.LSN != 129 {
 		t.Fatalf("its token is at %v", seen)
 	}
 	id := r.request(classOwn, a.Token)
 	r.run(50 * ms)
 	c := r.sent(id)
-	r.result(c, Result{Started: true, Done: true, Facts: under, After: under})
+	r.result(c, Result{Started: true, Done: true, Facts: replaying, After: replaying})
 	if len(r.answers[id]) > 0 {
 		t.Errorf("served by %s, which is at the start of the record", c.Node)
 	}
@@ -150,7 +150,7 @@
 	r.checkIdle()
 }
 
-// TestSessionsTrackReads: where the driver follows sessions, a session's reads count too, not only its writes.
+// TestSessionsTrackReads: where the driver tracks sessions, a session's reads count too, not only its writes.
 func TestSessionsTrackReads(t *testing.T) {
 	cfg := testConfig()
 	cfg.DriverSessions, cfg.SessionBytes, cfg.SessionsComplete = true, 1<<20, true
@@ -215,12 +215,12 @@
 	r.checkIdle()
 }
 
-// TestPrimaryAnswerHoldsLessThanItsPosition: what a primary's answer holds ends before the primary's position,
-// even if the reader asked for that very position.
+// TestPrimaryAnswerHoldsLessThanItsPosition: the lower bound of a primary's answer is below the primary's position,
+// even if the reader required that very position.
 //
-// The answer's position was joined with the position that the reader asked for. A commit logged before that
-// position may not be visible yet, and a reader that sees it a moment later gets a token with the same position; a
-// cache then served that reader the older page. Seen in "lab chain" with 25 ms from a commit's record to its end:
+// The lower bound was joined with the position that the reader required. A commit logged before that position may
+// not be visible yet, and a reader that sees it a moment later gets a token with the same position; a cache then
+// served that reader the older page. Seen in "lab chain" with 25 ms from a commit's record to its end:
 // "r19 had seen c2186 at 1:0/6B80 ... and read 26496 ...; reader asked 1:0/6EC0, saw it with 1:0/6EC0; page holds
 // 1:0/6EC0".
 func TestPrimaryAnswerHoldsLessThanItsPosition(t *testing.T) {
@@ -228,7 +228,7 @@
 	r := newHarness(t, testConfig(), map[string]Facts{"p": reported, "r1": replica(at(1, 900)), "r2": replica(at(1, 900))})
 	_, a := r.readAt(classDesk, token.Token{}.With("news", at(1, 1000)), reported, reported)
 	if holds, _ := a.LowerBound.Position("news"); holds.LSN != 999 {
-		t.Errorf("it holds %v, read at a primary at 1000", holds)
+		t.Errorf("the lower bound is %v, read at a primary at 1000", holds)
 	}
 	r.checkIdle()
 }
--- a/topology/bench_test.go
+++ b/topology/bench_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// BenchmarkHear measures the cost of a node's report, by the number of members in the slice.
-func BenchmarkHear(b *testing.B) {
+// BenchmarkObserve measures the cost of a node's report, by the number of members in the slice.
+func BenchmarkObserve(b *testing.B) {
 	for _, members := range []int{3, 6, 60} {
 		b.Run(fmt.Sprint(members), func(b *testing.B) {
 			s := NewSlice("s")
--- a/topology/topology.go
+++ b/topology/topology.go
@@ -1,5 +1,5 @@
 // Package topology decides which node is the primary of a slice. The claims that nodes make about their role and
-// timeline, and an operator's fences, go in; a verdict for the slice and the standing of each node come out. The
+// timeline, and an operator's fences, go in; a verdict for the slice and the status of each node come out. The
 // driver's engine calls it for each report of a node; the package does no I/O and reads no clock.
 //
 // A claim is one report of a node and the time, on the driver's clock, at which the report was requested. Claims are
@@ -62,7 +62,7 @@
 // Status is the relation of a node to its slice.
 type Status uint8
 
-// Standings.
+// Statuses.
 const (
 	Unreported Status = iota // no claim was received yet
 	Follower                 // a replica of the slice
@@ -78,15 +78,15 @@
 	return [...]string{"not heard", "replica", "primary", "superseded", "rival", "of another cluster", "fenced"}[s]
 }
 
-// Routable reports whether requests may be sent to a node of this standing.
+// Routable reports whether requests may be sent to a node of this status.
 func (s Status) Routable() bool { return s != Superseded && s != Foreign && s != Rival && s != Fenced }
 
 // member is the state kept for a node: only the claims that the verdict depends on.
 type member struct {
 	name   string
 	latest Claim // the claim with the highest Sent
-	first  Claim // the earliest by Sent among its claims to be primary of its latest term
-	last   Claim // the last by Sent among the same claims
+	first  Claim // the earliest by Sent among its claims to be primary of the highest term that it claimed
+	last   Claim // the latest by Sent among the same claims
 	claims bool  // its latest claim has the role of primary
 	fenced bool
 }
@@ -115,7 +115,7 @@
 	System   uint64   // system identifier of the slice's cluster; 0 until a node reports one
 	Term     uint32   // current timeline of the cluster
 	Primary  string   // "" while no node is accepted as primary
-	Evidence string   // the evidence, for operators
+	Evidence string   // why Primary was accepted or no node was, in words for operators
 	Rivals   []string // the nodes that claim the current term, if more than one
 }
 
@@ -275,11 +275,12 @@
 	return v
 }
 
-// silence is the time after which a claimant counts as removed if another one went on claiming the same term.
+// silence is how long a claimant may go without a claim, while another one goes on claiming the same term, before it
+// counts as removed.
 const silence = 10 * time.Second
 
-// liveClaimants drops each claimant that fell silent while another went on claiming the term: a primary that was moved
-// to another address without a promotion leaves its old name behind with the same term.
+// liveClaimants drops each claimant that made no claim for longer than silence while another went on claiming the
+// term. A primary that was moved to another address without a promotion leaves its old name behind with the same term.
 func liveClaimants(claimants []*member) []*member {
 	return slices.DeleteFunc(slices.Clone(claimants), func(m *member) bool {
 		return slices.ContainsFunc(claimants, func(o *member) bool { return o != m && o.last.Sent-m.last.Sent > silence })
@@ -333,7 +334,7 @@
 	return m.latest.System != 0 && system != 0 && m.latest.System != system
 }
 
-// Status returns the relation of a node to the slice by its latest claim.
+// Status returns the relation of a node to the slice by its latest claim, Unreported for an unknown node.
 func (s *Slice) Status(node string) Status {
 	m := s.members[node]
 	switch {
@@ -374,7 +375,7 @@
 	s.update(c)
 }
 
-// Remove removes a node that was removed from the inventory. The terms that it reported stay.
+// Remove drops the claims and the fence of a node that was removed from the inventory. The terms that it reported stay.
 func (s *Slice) Remove(node string, now time.Duration) {
 	if s.members[node] != nil {
 		delete(s.members, node)
@@ -392,7 +393,7 @@
 
 // RecordLoss records a loss in the history.
 func (s *Slice) RecordLoss(l Loss, now time.Duration) {
-	s.record(Claim{Node: l.Node, Role: Primary, Timeline: l.Timeline, LSN: l.To, Received: now, Sent: now}, fmt.Sprintf("commits of timeline %d beyond %X/%X, up to %X/%X, were heard at %s and are not part of the timeline that followed",
+	s.record(Claim{Node: l.Node, Role: Primary, Timeline: l.Timeline, LSN: l.To, Received: now, Sent: now}, fmt.Sprintf("commits of timeline %d beyond %X/%X, up to %X/%X, were reported by %s and are not part of the timeline that followed",
 		l.Timeline, l.From>>32, uint32(l.From), l.To>>32, uint32(l.To), l.Node))
 }
 
--- a/topology/topology_test.go
+++ b/topology/topology_test.go
@@ -14,7 +14,7 @@
 )
 
 // TestData replays the claims of testdata/*.txt and checks the verdicts. A line "claim ..." or "fence ..." is input,
-// "is ..." states the expected verdict and "node ..." the expected standing of a node.
+// "is ..." states the expected verdict and "node ..." the expected status of a node.
 func TestData(t *testing.T) {
 	files, err := filepath.Glob("testdata/*.txt")
 	if err != nil || len(files) < 8 {
@@ -105,7 +105,7 @@
 	}), 0, 30).Draw(t, "claims")
 }
 
-// TestAnyOrder: any order and repetition of the same claims ends in the same verdict, standings and ends of timelines.
+// TestAnyOrder: any order and repetition of the same claims ends in the same verdict, statuses and ends of timelines.
 func TestAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		claims := drawClaims(t)
