--- a/position/position.go
+++ b/position/position.go
@@ -32,9 +32,9 @@
 
 // Position is a point in the history of a slice: the timeline, the byte in its log (PostgreSQL's LSN), and
 // transactions. On a replica the LSN determines what is visible. A primary writes a commit to its log before it makes
-// it visible, and replicas may show it in between; there Transactions is the set of those that are finished and
-// visible. In a position that a client requires, it is the set of those that a replica may have shown it, empty if none
-// did. The zero Position means none.
+// it visible, and replicas may show it in between; in a primary's position Transactions is the set of those that are
+// finished and visible. In a position that a client requires, it is the set of those that a replica may have shown to
+// the client, empty if none did. The zero Position means none.
 type Position struct {
 	Timeline     uint32
 	LSN          uint64
@@ -76,8 +76,8 @@
 	return Position{Timeline: max(p.Timeline, q.Timeline), LSN: max(p.LSN, q.LSN), Transactions: p.Transactions.Union(q.Transactions)}
 }
 
-// Meet returns the greatest position that both p and q cover, as a result combined from two reads of one slice reflects
-// it.
+// Meet returns the greatest position that both p and q cover. It is the lower bound of a result combined from two reads
+// of one slice.
 func (p Position) Meet(q Position) Position {
 	return Position{Timeline: min(p.Timeline, q.Timeline), LSN: min(p.LSN, q.LSN), Transactions: p.Transactions.Intersect(q.Transactions)}
 }
@@ -129,8 +129,8 @@
 // Timeline returns the highest timeline seen so far, 0 before any.
 func (c *Clock) Timeline() uint32 { return c.timeline }
 
-// ObserveTimeline records that a node is on a timeline. If it is higher than any before, all bounds are dropped (forks stay), and
-// observations of lower timelines are ignored from now on, as their primaries are superseded.
+// ObserveTimeline records that a node is on a timeline. If it is higher than any before, all bounds are dropped (forks
+// stay), and observations of lower timelines are ignored from now on, as their primaries are superseded.
 func (c *Clock) ObserveTimeline(timeline uint32) {
 	if timeline > c.timeline {
 		*c = Clock{timeline: timeline, forks: c.forks, lower: c.lower[:0], upper: c.upper[:0]}
@@ -168,8 +168,8 @@
 	return false
 }
 
-// ObservePrimary records that the primary's log was at p at some time between sent and received. It returns false and records
-// no bound if p is on a superseded timeline, its LSN is unknown or received is before sent.
+// ObservePrimary records that the primary's log was at p at some time between sent and received. It returns false and
+// records no bound if p is on a superseded timeline, its LSN is unknown or received is before sent.
 func (c *Clock) ObservePrimary(p Position, sent, received time.Duration) bool {
 	c.ObserveTimeline(p.Timeline)
 	if p.Timeline < c.timeline || p.LSN == UnknownLSN || received < sent {
--- a/position/transactions.go
+++ b/position/transactions.go
@@ -79,7 +79,7 @@
 type Snapshot struct {
 	Oldest  uint64   // xmin: all transactions below it are finished
 	Next    uint64   // xmax: no transaction from it on was finished
-	Running []uint64 // xip_list: the running transactions between these, in ascending order; a server in recovery reports none
+	Running []uint64 // xip_list: those running between xmin and xmax, in ascending order; none on a server in recovery
 }
 
 // ParseSnapshot parses PostgreSQL's text form of a snapshot, "xmin:xmax:xip_list". It returns an error if the text has
@@ -132,8 +132,8 @@
 	return out.normal()
 }
 
-// MaybeVisible returns every transaction that the replica which reported the snapshot may have shown: all below xmax except
-// xmin, the oldest one that was still running. The other running ones are not reported and count as shown.
+// MaybeVisible returns every transaction that the replica which reported the snapshot may have shown: all below xmax
+// except xmin, the oldest one that was still running. The other running ones are not reported and count as shown.
 func (s *Snapshot) MaybeVisible() Transactions {
 	return Transactions{Below: s.Next, Except: s.Oldest}.normal()
 }
--- a/position/transactions_test.go
+++ b/position/transactions_test.go
@@ -59,7 +59,7 @@
 	} {
 		s, err := ParseSnapshot(c.text)
 		if err != nil || s.Finished() != c.over || s.MaybeVisible() != c.shown {
-			t.Errorf("%s: %v, over %v, shown %v", c.text, err, s.Finished(), s.MaybeVisible())
+			t.Errorf("%s: %v, finished %v, maybe visible %v", c.text, err, s.Finished(), s.MaybeVisible())
 		}
 	}
 	for text, want := range map[string]string{"20": "is not a snapshot", "a:20:": "transaction id \"a\"", "10:20:x": "\"x\"",
