--- a/token/set.go
+++ b/token/set.go
@@ -130,9 +130,9 @@
 // String returns the sorted texts separated by dots.
 func (b Set) String() string { return strings.Join(b.texts, ".") }
 
-// JoinUnverified returns the join of all tokens in the set without verifying signatures. It is meant for caches, where a forged
-// token that requires too little harms only the client that presents it. complete is false if the set contains Unknown,
-// whose requirements are not known.
+// JoinUnverified returns the join of all tokens in the set without verifying signatures. It is meant for caches, where a
+// forged token that requires too little harms only the client that presents it. complete is false if the set contains
+// Unknown, whose requirements are not known.
 func (b Set) JoinUnverified() (t Token, complete bool) {
 	complete = true
 	for _, text := range b.texts {
--- a/token/token.go
+++ b/token/token.go
@@ -79,8 +79,8 @@
 // IsZero reports whether the token requires nothing.
 func (t Token) IsZero() bool { return len(t.entries) == 0 && !t.present }
 
-// Position returns the position that the token requires of a slice: the listed one, or position.Present if the slice is not
-// listed and the token requires the present of such slices. It returns false if nothing is required of the slice.
+// Position returns the position that the token requires of a slice: the listed one, or position.Present if the slice is
+// not listed and the token requires the present of such slices. It returns false if nothing is required of the slice.
 func (t Token) Position(slice string) (position.Position, bool) {
 	at, ok := t.PositionByID(IDOf(slice))
 	if !ok {
@@ -124,7 +124,7 @@
 }
 
 // Meet returns the lower bound of a result composed of two reads with the lower bounds t and u. For a slice listed in
-// both it is the Meet of the two positions, for a slice listed in one that position. Neither t nor u may require the
+// both it is the Meet of the two positions; for a slice listed in only one, the position listed there. Neither t nor u may require the
 // present of slices that it does not list.
 func (t Token) Meet(u Token) Token {
 	out := t.Join(u)
@@ -141,7 +141,7 @@
 // RequiresPresent reports whether the token requires the present position of every slice that it does not list.
 func (t Token) RequiresPresent() bool { return t.present }
 
-// With returns a token in which the position of one slice is set to at, even if it was higher. The zero Position
+// With returns a token in which the position of one slice is replaced by at, even by a lower one. The zero Position
 // removes the slice, which is safe once every member has long replayed its position.
 func (t Token) With(slice string, at position.Position) Token {
 	id := IDOf(slice)
