--- a/token/set.go
+++ b/token/set.go
@@ -23,17 +23,17 @@
 // ParseSet parses the values of one or more headers, each a list of token texts separated by dots, commas or spaces. A
 // text that is not a token is replaced by Unknown, as is a value longer than 65536 bytes.
 func ParseSet(values ...string) Set {
-	var b Set
+	var s Set
 	for _, v := range values {
 		if len(v) > maxText*MaxSetSize {
-			b = b.Add(Unknown)
+			s = s.Add(Unknown)
 			continue
 		}
 		for _, text := range splitTexts(v) {
-			b = b.Add(text)
+			s = s.Add(text)
 		}
 	}
-	return b
+	return s
 }
 
 func splitTexts(v string) []string {
@@ -64,14 +64,14 @@
 // Add returns the union with one text. A text that is not a token is added as Unknown. Texts that another one covers
 // are kept, as without keys it is not known whether the driver will accept the other. Over the limit of 16 texts, the
 // first in sort order are dropped and Unknown is added.
-func (b Set) Add(text string) Set {
-	if text == "" || slices.Contains(b.texts, text) {
-		return b
+func (s Set) Add(text string) Set {
+	if text == "" || slices.Contains(s.texts, text) {
+		return s
 	}
 	if _, err := Parse(text); text != Unknown && err != nil {
-		return b.Add(Unknown)
+		return s.Add(Unknown)
 	}
-	all := append(slices.Clone(b.texts), text)
+	all := append(slices.Clone(s.texts), text)
 	if len(all) > MaxSetSize {
 		all = all[len(all)-MaxSetSize+1:]
 		if !slices.Contains(all, Unknown) {
@@ -82,31 +82,31 @@
 	return Set{all}
 }
 
-// Join returns the union of b and o, limited to 16 texts as by Add.
-func (b Set) Join(o Set) Set {
+// Join returns the union of s and o, limited to 16 texts as by Add.
+func (s Set) Join(o Set) Set {
 	for _, text := range o.texts {
-		b = b.Add(text)
+		s = s.Add(text)
 	}
-	return b
+	return s
 }
 
 // Replace returns the set after a driver answered a request that carried the texts of sent. These are replaced by the
 // answer's token, which covers them. Texts added since are kept. An empty answer removes the texts only.
-func (b Set) Replace(sent Set, answer string) Set {
-	rest := Set{slices.DeleteFunc(slices.Clone(b.texts), func(t string) bool { return slices.Contains(sent.texts, t) })}
+func (s Set) Replace(sent Set, answer string) Set {
+	rest := Set{slices.DeleteFunc(slices.Clone(s.texts), func(t string) bool { return slices.Contains(sent.texts, t) })}
 	return rest.Add(answer)
 }
 
-// Absorb returns the union with the set from a called service's answer, without the texts of b that it covers. The
+// Absorb returns the union with the set from a called service's answer, without the texts of s that it covers. The
 // service is trusted not to claim more than its data includes, so covered texts require nothing more. If from contains
 // Unknown, nothing is removed.
-func (b Set) Absorb(from Set) Set {
+func (s Set) Absorb(from Set) Set {
 	have, complete := from.JoinUnverified()
 	if !complete {
-		return b.Join(from)
+		return s.Join(from)
 	}
 	rest := Set{}
-	for _, text := range b.texts {
+	for _, text := range s.texts {
 		if one, err := Parse(text); text == Unknown || err != nil || !have.Covers(one) {
 			rest = rest.Add(text)
 		}
@@ -115,27 +115,27 @@
 }
 
 // HasUnknown reports whether a token was lost, that is, whether the set contains Unknown.
-func (b Set) HasUnknown() bool { return slices.Contains(b.texts, Unknown) }
+func (s Set) HasUnknown() bool { return slices.Contains(s.texts, Unknown) }
 
 // Digest returns a 64-bit hash of the set as 16 hexadecimal digits, by which a service identifies the set whose lost
 // token its answer settled.
-func (b Set) Digest() string { return fmt.Sprintf("%016x", xxhash.Sum64String(b.String())) }
+func (s Set) Digest() string { return fmt.Sprintf("%016x", xxhash.Sum64String(s.String())) }
 
 // IsEmpty reports whether the set has no texts.
-func (b Set) IsEmpty() bool { return len(b.texts) == 0 }
+func (s Set) IsEmpty() bool { return len(s.texts) == 0 }
 
 // Texts returns a sorted copy of the texts.
-func (b Set) Texts() []string { return slices.Clone(b.texts) }
+func (s Set) Texts() []string { return slices.Clone(s.texts) }
 
 // String returns the sorted texts separated by dots.
-func (b Set) String() string { return strings.Join(b.texts, ".") }
+func (s Set) String() string { return strings.Join(s.texts, ".") }
 
 // JoinUnverified returns the join of all tokens in the set without verifying signatures. It is meant for caches, where a
 // forged token that requires too little harms only the client that presents it. complete is false if the set contains
 // Unknown, whose requirements are not known.
-func (b Set) JoinUnverified() (t Token, complete bool) {
+func (s Set) JoinUnverified() (t Token, complete bool) {
 	complete = true
-	for _, text := range b.texts {
+	for _, text := range s.texts {
 		one, err := Parse(text)
 		if err != nil || text == Unknown {
 			complete = false
--- a/token/token_test.go
+++ b/token/token_test.go
@@ -138,7 +138,7 @@
 func TestTamperingIsDetected(t *testing.T) {
 	ring, _ := NewKeyring(map[uint64][]byte{1: []byte("0123456789abcdef")}, 1)
 	tok := Token{}.With("news", position.Position{Timeline: 3, LSN: 0x16b374d848})
-	for name, text := range map[string]string{"plain": tok.String(), "signed": ring.Sign(tok, ""), "bound": ring.Sign(tok, "s1")} {
+	for name, text := range map[string]string{"plain": tok.String(), "signed": ring.Sign(tok, ""), "scoped": ring.Sign(tok, "s1")} {
 		parse := func(text string) error {
 			if name == "plain" {
 				_, err := Parse(text)
