--- a/propagation/propagation.go
+++ b/propagation/propagation.go
@@ -17,12 +17,14 @@
 
 // Names of the headers, the cookie, the metadata and the baggage member that carry tokens.
 const (
-	Header      = "Umberladder-Token"   // HTTP header of requests and responses
-	Cookie      = "umberladder"         // HTTP cookie, for browsers
-	MetadataKey = "umberladder-token"   // gRPC metadata of requests and of the headers and trailers of responses
-	SettledKey  = "Umberladder-Settled" // HTTP header and gRPC trailer of responses: digest of the request's tokens if the response settled a lost one
-	BaggageKey  = "umberladder.token"   // member of the W3C baggage of requests
-	maxCookie   = 3800                  // longest value that browsers and proxies keep in a cookie, in bytes
+	Header      = "Umberladder-Token" // HTTP header of requests and responses
+	Cookie      = "umberladder"       // HTTP cookie, for browsers
+	MetadataKey = "umberladder-token" // gRPC metadata of requests and of the headers and trailers of responses
+	// SettledKey is the HTTP header and the gRPC trailer of responses that hold the digest of the request's tokens if
+	// one of them was lost and the response settled it.
+	SettledKey = "Umberladder-Settled"
+	BaggageKey = "umberladder.token" // member of the W3C baggage of requests
+	maxCookie  = 3800                // longest value that browsers and proxies keep in a cookie, in bytes
 )
 
 // Collector holds the tokens that one request has observed: those that it carried and those of the answers to the calls
@@ -65,9 +67,9 @@
 	c.tokens = c.tokens.Absorb(token.ParseSet(values...))
 }
 
-// replaceLost replaces the tokens sent with a call by those of its answer, if a token was lost among the sent ones and the
-// answer's digests include theirs. A driver then answered from the present of the slice, with a token that requires the
-// present of all other slices, and the digest shows that the tokens sent arrived unchanged.
+// replaceLost replaces the tokens sent with a call by those of its answer, if a token was lost among the sent ones and
+// the answer's digests include that of the sent ones. A driver then answered from the present of the slice, with a token
+// that requires the present of all other slices, and the digest shows that the tokens sent arrived unchanged.
 func (c *Collector) replaceLost(sent token.Set, digests []string, values ...string) {
 	if c == nil || !sent.HasUnknown() || !slices.Contains(digests, sent.Digest()) {
 		return
--- a/propagation/propagation_test.go
+++ b/propagation/propagation_test.go
@@ -220,8 +220,8 @@
 	})
 }
 
-// failingDriver is a driver that fails a number of calls, with the error details that drivers send, and records the attempt
-// numbers.
+// failingDriver is a driver that refuses or fails a number of calls, with the error details that drivers send, and
+// records the attempt numbers.
 type failingDriver struct {
 	grpc_health_v1.UnimplementedHealthServer
 	mu       sync.Mutex
--- a/propagation/retry.go
+++ b/propagation/retry.go
@@ -17,7 +17,7 @@
 const (
 	ClientKey   = "umberladder-client"     // in requests: the name of the client, by which drivers share capacity fairly
 	AttemptKey  = "umberladder-attempt"    // in requests: the number of the attempt, 0 for the first, summed over all hops
-	PushbackKey = "grpc-retry-pushback-ms" // in trailers of responses: the delay before the next attempt, in milliseconds; -1 forbids another
+	PushbackKey = "grpc-retry-pushback-ms" // in trailers: milliseconds before the next attempt; -1 forbids another
 )
 
 // Retrier repeats unary calls that a driver refused, which is safe, as a refused request has not run. It waits as long
@@ -25,11 +25,15 @@
 // attempt number of the call being served to that of the calls made for it, so that drivers can bound the attempts over
 // several hops. The zero Retrier makes no further attempts. It is safe for concurrent use.
 type Retrier struct {
-	MaxRetries  int           // largest number of further attempts of one call
-	BudgetRatio float64       // further attempts that each first attempt adds to the budget
-	BudgetBurst float64       // further attempts in the budget at the start; the budget is capped at this or 10, whichever is larger
-	BaseDelay   time.Duration // mean delay before the first further attempt without advice; doubles up to 256 times that; 0 means 50 ms
-	ClientName  string        // sent to drivers under ClientKey unless empty
+	MaxRetries  int     // largest number of further attempts of one call
+	BudgetRatio float64 // further attempts that each first attempt adds to the budget
+	// BudgetBurst is the number of further attempts in the budget at the start. The budget is capped at this or 10,
+	// whichever is larger.
+	BudgetBurst float64
+	// BaseDelay is the mean delay before the first further attempt if the driver advises none; it doubles with each
+	// attempt, up to 256 times. 0 means 50 ms.
+	BaseDelay  time.Duration
+	ClientName string // sent to drivers under ClientKey unless empty
 
 	mu              sync.Mutex
 	started         bool
