--- a/causalcache/cache.go
+++ b/causalcache/cache.go
@@ -129,8 +129,9 @@
 // observed ones, else it shares the next fetch with the other callers that wait for it. Get blocks until a fetch returns
 // or ctx is done.
 //
-// It returns the error of fetch, the error of ctx, or ErrStale if three answers in a row did not include what the observed
-// tokens require. Errors are not cached. If a token among the observed ones was lost, the answer of a fetch is not checked.
+// It returns the error of fetch, the error of ctx, or ErrStale if three answers in a row did not include what the
+// observed tokens require. Errors are not cached. If a token among the observed ones was lost, the answer of a fetch is
+// not checked, as that token's requirements are not known.
 func (c *Cache[V]) Get(ctx context.Context, key Key, observed token.Set, fetch Fetch[V]) (Entry[V], token.Set, error) {
 	for range maxFetches {
 		e, after, err := c.get(ctx, key, observed, fetch)
--- a/causalcache/cache_test.go
+++ b/causalcache/cache_test.go
@@ -195,7 +195,7 @@
 	if e, _, err := c.Get(t.Context(), key, setAt("news", 192), answers("with", 192, 192)); err != nil || e.Value != "with" {
 		t.Errorf("the session that wrote got %q, %v", e.Value, err)
 	}
-	if e, _, _ := c.Get(t.Context(), key, setAt("news", 128), answers("asked again", 256, 255)); e.Value != "with" {
+	if e, _, _ := c.Get(t.Context(), key, setAt("news", 128), answers("fetched again", 256, 255)); e.Value != "with" {
 		t.Errorf("a session that observed less got %q", e.Value)
 	}
 }
