--- a/pgwire/backend.go
+++ b/pgwire/backend.go
@@ -51,7 +51,7 @@
 type Column struct {
 	Name   string
 	Table  uint32 // object identifier of the table, 0 if the column is not from a table
-	Attr   int    // number of the column in the table, 0 likewise
+	Attr   int    // number of the column in the table, 0 if the column is not from a table
 	Type   uint32 // object identifier of the data type
 	Size   int16  // bytes of the data type, negative for a variable size
 	Mod    int32  // type modifier, -1 for none
@@ -171,7 +171,9 @@
 type Auth struct {
 	Code       uint32   // AuthOK, AuthCleartext, AuthMD5, AuthSASL, AuthSASLContinue or AuthSASLFinal
 	Mechanisms []string // offered mechanisms, for AuthSASL
-	Data       []byte   // SASL data, for AuthSASLContinue and AuthSASLFinal; the salt of 4 bytes, for AuthMD5; shares memory with the body
+	// Data is the SASL data for AuthSASLContinue and AuthSASLFinal, and the salt of 4 bytes for AuthMD5. It shares memory
+	// with the body.
+	Data []byte
 }
 
 // ParseAuth parses the body of an authentication request. A code that is not among the Auth constants is an error.
--- a/pgwire/frontend.go
+++ b/pgwire/frontend.go
@@ -165,7 +165,7 @@
 	Portal, Statement string
 	Formats           []int    // of the values, 0 text, 1 binary; none means all text, one applies to all
 	Values            [][]byte // nil is NULL; share memory with the body
-	ResultFormats     []int    // of the result columns, likewise
+	ResultFormats     []int    // of the result columns, in the same form
 }
 
 // ParseBind parses the body of a Bind message.
--- a/pgwire/reader.go
+++ b/pgwire/reader.go
@@ -53,8 +53,8 @@
 	beforeLong func(n int) error // nil for none
 }
 
-// OnLongMessage sets a function that Next calls with the length of a body, in bytes, before it reads a body of 4093 bytes or
-// more. If f returns an error, Next returns it without reading the body.
+// OnLongMessage sets a function that Next calls with the length of a body, in bytes, before it reads a body of 4093 bytes
+// or more. If f returns an error, Next returns it without reading the body.
 func (r *Reader) OnLongMessage(f func(n int) error) { r.beforeLong = f }
 
 // NewReader returns a Reader of src that refuses messages whose body is longer than maxMessage bytes, or longer than
