--- a/driver/engine.go
+++ b/driver/engine.go
@@ -436,7 +436,7 @@
 	e.finish(q)
 }
 
-// finish marks a request as done. What has not been sent for it will not be sent.
+// finish marks a request as done and ends its attempts that were not sent yet.
 func (e *Engine) finish(q *request) {
 	if q.inFlight == 0 {
 		q.slice.waiting--
--- a/driver/engine_test.go
+++ b/driver/engine_test.go
@@ -159,15 +159,15 @@
 	r.checkIdle()
 }
 
-// TestClientLeavesInMidAttempt: no answer is sent, nothing more is sent to nodes, and the connection is reused
+// TestClientLeavesDuringAttempt: no answer is sent, nothing more is sent to nodes, and the connection is reused
 // only after its reply.
-func TestClientLeavesInMidAttempt(t *testing.T) {
+func TestClientLeavesDuringAttempt(t *testing.T) {
 	r := newHarness(t, testConfig(), fleetFacts())
 	w := r.request(classWrite, token.Token{})
 	c := r.sent(w)
 	r.step(Event{Kind: EventClientLeft, Request: w})
 	if r.e.Held() != 0 {
-		t.Error("it is still held")
+		t.Error("the request is still held")
 	}
 	r.reply(c)
 	if len(r.answers[w]) != 0 {
@@ -447,8 +447,8 @@
 	}
 }
 
-// TestSnapshotOfSessions: after a restart with complete state, sessions see their writes; without, every session
-// requires the latest position until the primary has reported one, and positions in an incomplete state still apply.
+// TestSnapshotOfSessions: after a restart with complete state, sessions see their writes. Without it, every session
+// requires the latest position until the primary has reported one.
 func TestSnapshotOfSessions(t *testing.T) {
 	cfg := testConfig()
 	cfg.DriverSessions, cfg.SessionBytes, cfg.SessionsComplete = true, 1<<20, true
@@ -464,18 +464,18 @@
 		t.Errorf("after a complete snapshot the session's read went to %s", c.Node)
 	}
 	cfg.Sessions, cfg.SessionsComplete = nil, false
-	guarded := newHarness(t, cfg, map[string]Facts{"p": primary(at(1, 1200)), "r1": replica(at(1, 1050)), "r2": replica(at(1, 1050))})
-	id = guarded.request(classOwn, token.Token{})
-	guarded.run(100 * ms)
-	if c := guarded.sent(id); c.Node != "p" {
+	restarted := newHarness(t, cfg, map[string]Facts{"p": primary(at(1, 1200)), "r1": replica(at(1, 1050)), "r2": replica(at(1, 1050))})
+	id = restarted.request(classOwn, token.Token{})
+	restarted.run(100 * ms)
+	if c := restarted.sent(id); c.Node != "p" {
 		t.Errorf("without a snapshot a session's read went to %s, which lacks what it may have written", c.Node)
 	}
-	guarded.nodes["r1"].facts, guarded.nodes["r2"].facts = replica(at(1, 1200)), replica(at(1, 1200))
-	guarded.run(time.Second)
-	id = guarded.request(classOwn, token.Token{})
-	guarded.run(100 * ms)
-	if c := guarded.sent(id); c.Node == "p" {
-		t.Error("it still goes to the primary though replicas have passed the floor")
+	restarted.nodes["r1"].facts, restarted.nodes["r2"].facts = replica(at(1, 1200)), replica(at(1, 1200))
+	restarted.run(time.Second)
+	id = restarted.request(classOwn, token.Token{})
+	restarted.run(100 * ms)
+	if c := restarted.sent(id); c.Node == "p" {
+		t.Error("a read still goes to the primary though replicas have passed the floor")
 	}
 }
 
--- a/driver/visibility_test.go
+++ b/driver/visibility_test.go
@@ -26,7 +26,7 @@
 	before, after := replica(at(1, 128)), replica(at(1, 192))
 	seen, a := r.readAt(classOwn, token.Token{}, before, after)
 	if seen.LSN != 192 {
-		t.Fatalf("its token is at %v though it saw 192", seen)
+		t.Fatalf("the session's token is at %v though it saw 192", seen)
 	}
 	if held, _ := a.LowerBound.Position("news"); held.LSN != 128 {
 		t.Errorf("the lower bound is %v, though the position before the read was 128", held)
@@ -205,11 +205,11 @@
 	reported := primary(position.Position{Timeline: 1, LSN: 1000, Transactions: position.TransactionsBelow(700)})
 	r := newHarness(t, testConfig(), map[string]Facts{"p": reported, "r1": replica(at(1, 1000)), "r2": replica(at(1, 1000))})
 	_, a := r.readAt(classDesk, token.Token{}, reported, reported)
-	holds, _ := a.LowerBound.Position("news")
+	lowerBound, _ := a.LowerBound.Position("news")
 	for below, want := range map[uint64]bool{700: true, 701: false} {
 		need := position.Position{Timeline: 1, LSN: 900, Transactions: position.TransactionsBelow(below)}
-		if holds.Covers(need) != want {
-			t.Errorf("%v covers %v: %v", holds, need, !want)
+		if lowerBound.Covers(need) != want {
+			t.Errorf("%v covers %v: %v", lowerBound, need, !want)
 		}
 	}
 	r.checkIdle()
@@ -227,8 +227,8 @@
 	reported := primary(position.Position{Timeline: 1, LSN: 1000, Transactions: position.TransactionsBelow(700)})
 	r := newHarness(t, testConfig(), map[string]Facts{"p": reported, "r1": replica(at(1, 900)), "r2": replica(at(1, 900))})
 	_, a := r.readAt(classDesk, token.Token{}.With("news", at(1, 1000)), reported, reported)
-	if holds, _ := a.LowerBound.Position("news"); holds.LSN != 999 {
-		t.Errorf("the lower bound is %v, read at a primary at 1000", holds)
+	if lowerBound, _ := a.LowerBound.Position("news"); lowerBound.LSN != 999 {
+		t.Errorf("the lower bound is %v, read at a primary at 1000", lowerBound)
 	}
 	r.checkIdle()
 }
--- a/position/position_test.go
+++ b/position/position_test.go
@@ -76,7 +76,7 @@
 	return tl
 }
 
-// TestClockBoundsAreSafe: no order of observations makes a replica look newer, or a commit look earlier, than it is.
+// TestClockBoundsAreSafe: no order of observations makes a replica seem newer, or a commit earlier, than it is.
 func TestClockBoundsAreSafe(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		h := drawHistory(t)
