--- a/driver/conns.go
+++ b/driver/conns.go
@@ -30,7 +30,7 @@
 	clockStale     bool          // at the start of the poll the primary's log position was older than Config.ClockAge
 	facts          Facts         // last reported
 	leavingSince   time.Duration // since when it is draining or not listed; 0 if it is ready
-	unconfirmed    bool          // its last answer contradicted the topology; it gets no requests until a poll
+	unconfirmed    bool          // its last answer contradicted the topology; it gets no requests until it is polled
 	system         uint64        // cluster identifier last reported, 0 if none
 	polledUpstream string        // address it streamed from at its last poll
 	knownUpstream  string        // address it streams from by its last poll, or by a later answer that names one
--- a/driver/engine.go
+++ b/driver/engine.go
@@ -436,7 +436,8 @@
 	e.finish(q)
 }
 
-// finish marks a request as done and ends its attempts that were not sent yet.
+// finish marks a request as done and ends its attempts that are not sent yet or are streaming. The others end with
+// their replies.
 func (e *Engine) finish(q *request) {
 	if q.inFlight == 0 {
 		q.slice.waiting--
