--- a/token/token.go
+++ b/token/token.go
@@ -124,8 +124,8 @@
 }
 
 // Meet returns the lower bound of a result composed of two reads with the lower bounds t and u. For a slice listed in
-// both it is the Meet of the two positions; for a slice listed in only one, the position listed there. Neither t nor u may require the
-// present of slices that it does not list.
+// both it is the Meet of the two positions; for a slice listed in only one, the position listed there. Neither t nor u
+// may require the present of slices that it does not list.
 func (t Token) Meet(u Token) Token {
 	out := t.Join(u)
 	for i := range out.entries {
