--- a/lab/history/history.go
+++ b/lab/history/history.go
@@ -1,8 +1,9 @@
-// Package history judges what clients saw. It takes their operations, by key and value, and the order in which the
-// values of each slice entered its log, and looks for what the session guarantees, causal order, the bound of an age
-// and linearizability forbid. It does no I/O and believes no place, token or claim of the driver: values alone count.
+// Package history checks recorded operations of clients for violations of session guarantees, causal order, bounded
+// staleness and linearizability. Its input is a History: the operations, by key and value, and the order of the values
+// in each slice's log; its output is one Rule per guarantee, with its violations. Packages lab and world call it; it
+// does no I/O and compares values only, never positions, tokens or other statements of the driver.
 //
-// docs/guarantees.md says what is promised; the rules here are its rows.
+// The rules are the rows of docs/guarantees.md.
 package history
 
 import (
@@ -12,7 +13,7 @@
 	"time"
 )
 
-// Kind tells reads from writes.
+// Kind is the kind of an operation.
 type Kind uint8
 
 // The kinds of operation.
@@ -21,48 +22,49 @@
 	Write
 )
 
-// End is how an operation ended for its client.
+// End is the outcome of an operation for its client.
 type End uint8
 
-// The ends of an operation.
+// The outcomes of an operation.
 const (
 	Served  End = iota
-	Refused     // the driver said that nothing was done
-	Unknown     // it may have taken effect, or may yet
+	Refused     // the driver answered that it had no effect
+	Unknown     // it may have taken effect, or may still do so
 )
 
-// Op is one operation as its client saw it. Times are on one clock.
+// Op is one operation as its client observed it. All times are on one clock.
 type Op struct {
 	ID      string
 	Session string
 	Kind    Kind
 	Slice   string
 	Key     string
-	Value   string // of a write what it writes, of a read what it returned, "" for nothing
+	Value   string // value written, or value a read returned; "" for none
 	Begin   time.Duration
-	End     time.Duration // when its client had the answer
+	End     time.Duration // when its client received the answer
 	Ended   End
-	// Carries are the operations whose tokens its own token covers: of its session, or handed over by others.
+	// Carries lists the operations covered by the token it was sent with: of its own session, or of other sessions that
+	// passed their tokens on.
 	Carries []string
-	Fresh   bool          // it must see the present
-	Bound   time.Duration // its data may be so old at the most; 0 for any age
-	Excused bool          // of a read: a node that had been primary answered, and nobody had been told that it no longer is
-	Source  string        // who answered and what the client was told of it; only printed, never judged
+	Fresh   bool          // a read that must return the latest value
+	Bound   time.Duration // most staleness allowed; 0 for any
+	Excused bool          // of a read: answered by a former primary before any driver was notified of its demotion
+	Source  string        // answering node and its reported state; printed only, never judged
 }
 
 // Version is one value in a slice's log. Values are unique.
 type Version struct {
 	Slice, Key, Value string
-	Lost              bool // a promotion left it out
+	Lost              bool // lost by a promotion
 }
 
-// History is what a run left behind. Versions that are not lost stand in the order of their slice's log.
+// History is the record of a run. Versions that are not lost are in the order of their slice's log.
 type History struct {
 	Ops      []Op
 	Versions []Version
 }
 
-// Rule is one guarantee as a history kept it.
+// Rule is one guarantee and its violations in a history.
 type Rule struct {
 	Name    string
 	Chances int // occasions on which it could have been broken
@@ -70,13 +72,13 @@
 	Broken  []Violation
 }
 
-// Violation is one break of a guarantee.
+// Violation is one violation of a guarantee.
 type Violation struct {
 	Text string
-	Part []Op // the shortest part of the history that shows it, in order of time
+	Part []Op // the operations that prove it, by begin time
 }
 
-// String is the text with the part that shows it, a line each.
+// String returns the text, followed by one line per operation of Part.
 func (v *Violation) String() string {
 	var b strings.Builder
 	b.WriteString(v.Text)
@@ -86,7 +88,7 @@
 	return b.String()
 }
 
-// String is one line about an operation.
+// String describes the operation in one line.
 func (o *Op) String() string {
 	what := fmt.Sprintf("read %s/%s -> %q", o.Slice, o.Key, o.Value)
 	if o.Kind == Write {
@@ -99,7 +101,7 @@
 	return line
 }
 
-// The rules, by their places in the result of Check.
+// Indexes of the rules in the result of Check.
 const (
 	ReadYourWrites = iota
 	MonotonicReads
@@ -115,17 +117,17 @@
 var ruleNames = [rules]string{"read your writes", "monotonic reads", "monotonic writes", "writes follow reads", "causal order",
 	"bounded age", "linearizable", "answers kept"}
 
-// Check judges a history.
+// Check checks a history and returns all rules, in the order of the indexes above.
 func Check(h *History) []*Rule {
 	c := newChecker(h)
-	c.sessions()
-	c.ages()
-	c.answers()
-	c.linearize()
+	c.checkSessions()
+	c.checkAges()
+	c.checkAnswers()
+	c.checkLinearizable()
 	return c.rules
 }
 
-// Broken counts the breaks of all rules.
+// Broken returns the number of violations of all rules.
 func Broken(rules []*Rule) (n int) {
 	for _, r := range rules {
 		n += len(r.Broken)
@@ -133,14 +135,14 @@
 	return n
 }
 
-// place is a key of a slice.
-type place struct{ slice, key string }
+// key is a key of a slice.
+type key struct{ slice, key string }
 
-// version is a Version with its order in the slice's log.
+// version is a Version with its index in the history.
 type version struct {
 	Version
-	order int
-	by    int // the operation that wrote it, -1 if none is known
+	order  int
+	writer int // index of the operation that wrote it, -1 if unknown
 }
 
 type checker struct {
@@ -148,36 +150,36 @@
 	rules    []*Rule
 	byID     map[string]int
 	versions map[string]*version // by value
-	byPlace  map[place][]*version
-	after    []*front // by operation: what its client has seen and done with it
-	before   []*front
-	state    []uint8 // of the walk over operations
+	byKey    map[key][]*version
+	after    []*past // by operation: its client's causal past including the operation
+	before   []*past
+	state    []uint8 // by operation, of visit
 }
 
 func newChecker(h *History) *checker {
-	c := &checker{h: h, byID: map[string]int{}, versions: map[string]*version{}, byPlace: map[place][]*version{},
-		after: make([]*front, len(h.Ops)), before: make([]*front, len(h.Ops)), state: make([]uint8, len(h.Ops))}
+	c := &checker{h: h, byID: map[string]int{}, versions: map[string]*version{}, byKey: map[key][]*version{},
+		after: make([]*past, len(h.Ops)), before: make([]*past, len(h.Ops)), state: make([]uint8, len(h.Ops))}
 	for i := range rules {
 		c.rules = append(c.rules, &Rule{Name: ruleNames[i]})
 	}
 	for i, v := range h.Versions {
-		k := &version{Version: v, order: i, by: -1}
+		k := &version{Version: v, order: i, writer: -1}
 		c.versions[v.Value] = k
 		if !v.Lost {
-			c.byPlace[place{v.Slice, v.Key}] = append(c.byPlace[place{v.Slice, v.Key}], k)
+			c.byKey[key{v.Slice, v.Key}] = append(c.byKey[key{v.Slice, v.Key}], k)
 		}
 	}
 	for i := range h.Ops {
 		op := &h.Ops[i]
 		c.byID[op.ID] = i
 		if v := c.versions[op.Value]; op.Kind == Write && v != nil {
-			v.by = i
+			v.writer = i
 		}
 	}
 	return c
 }
 
-func (c *checker) broken(rule int, text string, ops ...int) {
+func (c *checker) addViolation(rule int, text string, ops ...int) {
 	ops = slices.DeleteFunc(ops, func(i int) bool { return i < 0 })
 	slices.Sort(ops)
 	ops = slices.Compact(ops)
@@ -189,21 +191,21 @@
 	c.rules[rule].Broken = append(c.rules[rule].Broken, v)
 }
 
-// ages looks for reads that lack what had been answered for longer than their bound.
-func (c *checker) ages() {
+// checkAges finds reads that miss a write answered longer ago than their bound.
+func (c *checker) checkAges() {
 	type answered struct {
 		end time.Duration
-		v   *version // the newest among those answered by then
+		v   *version // the newest version answered by then
 	}
-	byPlace := map[place][]answered{}
+	byKey := map[key][]answered{}
 	for i := range c.h.Ops {
 		op := &c.h.Ops[i]
 		if v := c.versions[op.Value]; op.Kind == Write && op.Ended == Served && v != nil && !v.Lost {
-			p := place{op.Slice, op.Key}
-			byPlace[p] = append(byPlace[p], answered{op.End, v})
+			p := key{op.Slice, op.Key}
+			byKey[p] = append(byKey[p], answered{op.End, v})
 		}
 	}
-	for _, all := range byPlace {
+	for _, all := range byKey {
 		slices.SortFunc(all, func(a, b answered) int { return int(a.end - b.end) })
 		for i := 1; i < len(all); i++ {
 			if all[i-1].v.order > all[i].v.order {
@@ -216,24 +218,25 @@
 		if op.Kind != Read || op.Ended != Served || op.Bound == 0 {
 			continue
 		}
-		all := byPlace[place{op.Slice, op.Key}]
+		all := byKey[key{op.Slice, op.Key}]
 		n, _ := slices.BinarySearchFunc(all, op.Begin-op.Bound, func(a answered, t time.Duration) int { return int(a.end - t) })
 		if n == 0 {
 			continue
 		}
-		must := all[n-1].v
+		required := all[n-1].v
 		if op.Excused {
 			c.rules[BoundedAge].Excused++
 			continue
 		}
 		c.rules[BoundedAge].Chances++
-		if got, known := c.orderOf(op); known && got < must.order {
-			c.broken(BoundedAge, fmt.Sprintf("%s lacks %q, answered over %v before", op.ID, must.Value, op.Bound), i, must.by, c.writer(op))
+		if got, known := c.orderOf(op); known && got < required.order {
+			c.addViolation(BoundedAge, fmt.Sprintf("%s lacks %q, answered over %v before", op.ID, required.Value, op.Bound), i, required.writer, c.writer(op))
 		}
 	}
 }
 
-// orderOf is the order of what a read returned, -1 for nothing; not known where a promotion left it out.
+// orderOf returns the order of the version an operation read or wrote, -1 for no value. It is unknown for a version
+// lost by a promotion.
 func (c *checker) orderOf(op *Op) (order int, known bool) {
 	if op.Value == "" {
 		return -1, true
@@ -245,17 +248,17 @@
 	return v.order, true
 }
 
-// writer is the operation that wrote what a read returned, -1 if none is known.
+// writer returns the index of the operation that wrote the value of op, -1 if unknown.
 func (c *checker) writer(op *Op) int {
 	if v := c.versions[op.Value]; v != nil {
-		return v.by
+		return v.writer
 	}
 	return -1
 }
 
-// answers looks for writes that were refused, which says that nothing was done, and yet are in the log, for writes
-// that were served and are not, and for reads of what nobody wrote.
-func (c *checker) answers() {
+// checkAnswers finds refused writes that are in the log, served writes that are not, and reads of values that were
+// never written. A refusal asserts that the write had no effect.
+func (c *checker) checkAnswers() {
 	for i := range c.h.Ops {
 		op := &c.h.Ops[i]
 		if op.Kind != Write || op.Ended == Unknown {
@@ -264,15 +267,15 @@
 		c.rules[AnswersKept].Chances++
 		switch done := c.versions[op.Value] != nil; {
 		case done && op.Ended == Refused:
-			c.broken(AnswersKept, op.ID+" was refused and yet done", i)
+			c.addViolation(AnswersKept, op.ID+" was refused and yet done", i)
 		case !done && op.Ended == Served:
-			c.broken(AnswersKept, op.ID+" was served and never done", i)
+			c.addViolation(AnswersKept, op.ID+" was served and never done", i)
 		}
 	}
 	for i := range c.h.Ops {
 		op := &c.h.Ops[i]
 		if op.Kind == Read && op.Ended == Served && op.Value != "" && c.versions[op.Value] == nil {
-			c.broken(AnswersKept, fmt.Sprintf("%s returned %q, which nobody wrote", op.ID, op.Value), i)
+			c.addViolation(AnswersKept, fmt.Sprintf("%s returned %q, which nobody wrote", op.ID, op.Value), i)
 		}
 	}
 }
--- a/lab/history/history_test.go
+++ b/lab/history/history_test.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// parse reads a history of lines: "log x=1 y=2 x=3!" (! for lost), and "ID SESSION r|w KEY VALUE BEGIN END OPTIONS",
-// VALUE "-" for nothing, options carries=A,B fresh bound=N unknown refused excused. Times are in milliseconds.
+// parse parses a history with lines "log x=1 y=2 x=3!" (! for lost) and "ID SESSION r|w KEY VALUE BEGIN END OPTIONS".
+// VALUE is "-" for none; options are carries=A,B fresh bound=N unknown refused excused. Times are in milliseconds.
 func parse(t testing.TB, text string) *History {
 	h := &History{}
 	for _, line := range strings.Split(strings.TrimSpace(text), "\n") {
@@ -57,7 +57,7 @@
 	return h
 }
 
-// TestPlanted: each violation is found under its rule, and shown by no more than the operations that make it.
+// TestPlanted checks that each violation is found by its rule and reported with only the operations that cause it.
 func TestPlanted(t *testing.T) {
 	for _, c := range []struct {
 		name string
@@ -116,12 +116,12 @@
 			b2 q w z 3 12 13 carries=b1
 			c1 s r z 3 14 15
 			c2 s r x - 16 17 carries=c1`},
-		{"what another's token stands for, read", CausalOrder, "w a b", `
+		{"read that misses what another session's token covers", CausalOrder, "w a b", `
 			log x=1
 			w u w x 1 0 5
 			a v r x 1 6 7
 			b s r x - 8 9 carries=a`},
-		{"what another's token stands for, written", CausalOrder, "w b", `
+		{"read that misses a write covered by another session's token", CausalOrder, "w b", `
 			log x=1
 			w u w x 1 0 5
 			b s r x - 8 9 carries=w`},
@@ -148,7 +148,7 @@
 			r0 v r x 1 4 6 fresh
 			b s r x 1 10 12 fresh
 			r1 v r x 2 13 14 fresh`},
-		{"an unknown write that comes and goes", Linearizable, "w1 w2 a b", `
+		{"a write with unknown outcome that is seen once and then not", Linearizable, "w1 w2 a b", `
 			log x=1 x=2
 			w1 u w x 1 0 5
 			w2 u w x 2 6 9 unknown
@@ -185,14 +185,14 @@
 	}
 }
 
-// TestNoViolation: what no promise forbids is not reported.
+// TestNoViolation checks that histories without a violation are accepted.
 func TestNoViolation(t *testing.T) {
 	for name, text := range map[string]string{
 		"without its token": `
 			log x=1 x=2
 			a s w x 1 0 5
 			b s r x - 6 9`,
-		"what a promotion lost": `
+		"a version lost by a promotion": `
 			log x=1! x=2
 			a s w x 1 0 5
 			b s r x - 6 9 carries=a
@@ -218,12 +218,12 @@
 			b s w x 2 6 9 unknown carries=a
 			c s r x 1 10 12 fresh carries=a
 			d s r x 2 13 15 fresh carries=c`,
-		"a primary that nobody had deposed yet": `
+		"a former primary before any driver was notified": `
 			log x=1
 			a s w x 1 0 5
 			b s r x - 300 301 bound=200 excused
 			c s r x - 300 301 fresh excused`,
-		"young enough": `
+		"within its bound": `
 			log x=1
 			a s w x 1 0 5
 			b s r x - 204 209 bound=200`,
@@ -236,14 +236,14 @@
 	}
 }
 
-// store draws a history of a store that keeps every promise: reads return the newest value, or with lag an older
-// one that the session's token allows.
+// store draws a history of a store that keeps all guarantees: reads return the newest value or, with lag, an older one
+// that the session's token allows.
 func store(seed uint64, ops, keys, sessions int, lag bool) *History {
 	rng := rand.New(rand.NewPCG(seed, 1))
 	h := &History{}
 	newest := map[string]int{} // key to order
 	byKey := map[string][]int{}
-	type place struct{ last, order int } // its last operation, and the place in the log that it has seen
+	type place struct{ last, order int } // its last operation, and the log position that it has seen
 	all := make([]place, sessions)
 	for s := range all {
 		all[s].last = -1
@@ -286,8 +286,9 @@
 	return h
 }
 
-// TestStoreThatKeepsItsPromises is not accused; one that serves a session from the past is.
-func TestStoreThatKeepsItsPromises(t *testing.T) {
+// TestCorrectStore checks that a correct store is accepted, and one that serves too old data to a session
+// is not.
+func TestCorrectStore(t *testing.T) {
 	for seed := range uint64(30) {
 		h := store(seed, 400, 5, 6, true)
 		for _, r := range Check(h) {
@@ -296,7 +297,7 @@
 			}
 		}
 		found := 0
-		for i := len(h.Ops) - 1; i > 0; i-- { // the last read of a value goes back to before all
+		for i := len(h.Ops) - 1; i > 0; i-- { // reads return no value, as before the first write
 			if op := &h.Ops[i]; op.Kind == Read && !op.Fresh && op.Value != "" && len(op.Carries) > 0 {
 				op.Value = ""
 				found++
@@ -308,11 +309,11 @@
 	}
 }
 
-// TestLongHistory: each rule has its chances, and none is broken, over many operations.
+// TestLongHistory checks that no rule is broken and the rules have chances over many operations.
 func TestLongHistory(t *testing.T) {
 	rules := Check(store(1, 15_000, 100, 200, true))
 	if n := Broken(rules); n > 0 {
-		t.Errorf("%d broken", n)
+		t.Errorf("%d violations", n)
 	}
 	for _, i := range []int{ReadYourWrites, MonotonicReads, WritesFollowReads, CausalOrder, Linearizable} {
 		if rules[i].Chances < 100 {
@@ -321,7 +322,7 @@
 	}
 }
 
-// BenchmarkCheck judges a hundred thousand operations.
+// BenchmarkCheck checks a history of a hundred thousand operations.
 //
 //	go test ./lab/history -run '^$' -bench Check -benchtime 1x
 func BenchmarkCheck(b *testing.B) {
--- a/lab/history/linearize.go
+++ b/lab/history/linearize.go
@@ -9,8 +9,8 @@
 	"github.com/anishathalye/porcupine"
 )
 
-// register is what the fresh reads and the writes of one key do to it.
-type register struct {
+// operation is a fresh read or a write of one key, as input of the model.
+type operation struct {
 	write bool
 	value string
 }
@@ -18,7 +18,7 @@
 var model = porcupine.Model{
 	Init: func() any { return "" },
 	Step: func(state, input, output any) (bool, any) {
-		if in := input.(register); in.write {
+		if in := input.(operation); in.write {
 			return true, in.value
 		}
 		return state.(string) == output.(string), state
@@ -26,14 +26,14 @@
 	Equal: func(a, b any) bool { return a.(string) == b.(string) },
 }
 
-// longest is how long the checker thinks about one key before it says that it does not know.
-const longest = 20 * time.Second
+// maxCheckTime bounds the check of one key; its result is unknown afterwards.
+const maxCheckTime = 20 * time.Second
 
-// linearize looks whether the fresh reads and the writes of each key have an order that explains them. A write whose
-// end is unknown may take effect at any time after it began, or never. What a promotion left out is left out.
-func (c *checker) linearize() {
-	byPlace := map[place][]int{}
-	var order []place
+// checkLinearizable checks that the fresh reads and the writes of each key are linearizable. A write with an unknown
+// outcome may take effect at any time after its begin, or never. Versions lost by a promotion are ignored.
+func (c *checker) checkLinearizable() {
+	byKey := map[key][]int{}
+	var order []key
 	for i := range c.h.Ops {
 		op := &c.h.Ops[i]
 		v := c.versions[op.Value]
@@ -49,74 +49,74 @@
 		if op.Kind == Read {
 			c.rules[Linearizable].Chances++
 		}
-		p := place{op.Slice, op.Key}
-		if byPlace[p] == nil {
+		p := key{op.Slice, op.Key}
+		if byKey[p] == nil {
 			order = append(order, p)
 		}
-		byPlace[p] = append(byPlace[p], i)
+		byKey[p] = append(byKey[p], i)
 	}
 	for _, p := range order {
-		switch c.explains(byPlace[p]) {
+		switch c.check(byKey[p]) {
 		case porcupine.Unknown:
-			c.broken(Linearizable, fmt.Sprintf("%s/%s: no verdict on %d operations within %v", p.slice, p.key, len(byPlace[p]), longest))
+			c.addViolation(Linearizable, fmt.Sprintf("%s/%s: no verdict on %d operations within %v", p.slice, p.key, len(byKey[p]), maxCheckTime))
 		case porcupine.Illegal:
-			part := c.shrink(byPlace[p])
-			c.broken(Linearizable, fmt.Sprintf("no order of the writes and fresh reads of %s/%s explains these", p.slice, p.key), part...)
+			part := c.shrink(byKey[p])
+			c.addViolation(Linearizable, fmt.Sprintf("no order of the writes and fresh reads of %s/%s explains these", p.slice, p.key), part...)
 		}
 	}
 }
 
-// explains tells whether some order explains operations on one key.
-func (c *checker) explains(ops []int) porcupine.CheckResult {
+// check checks that operations on one key are linearizable.
+func (c *checker) check(ops []int) porcupine.CheckResult {
 	all := make([]porcupine.Operation, 0, len(ops))
 	for _, i := range ops {
 		op := &c.h.Ops[i]
 		o := porcupine.Operation{ClientId: i, Call: int64(op.Begin), Return: int64(op.End), Output: op.Value}
-		if o.Input = (register{op.Kind == Write, op.Value}); op.Kind == Read {
-			o.Input = register{}
+		if o.Input = (operation{op.Kind == Write, op.Value}); op.Kind == Read {
+			o.Input = operation{}
 		}
 		if op.Ended == Unknown {
 			o.Return = math.MaxInt64
 		}
 		all = append(all, o)
 	}
-	return porcupine.CheckOperationsTimeout(model, all, longest)
+	return porcupine.CheckOperationsTimeout(model, all, maxCheckTime)
 }
 
-// shrink takes operations away, in ever smaller lots, while no order explains the rest. A write goes only when
-// nobody reads it any more, as a read of what nobody wrote proves nothing.
+// shrink removes operations, in chunks of decreasing size, as long as the rest is not linearizable. A write is removed
+// only if no remaining read returned its value, as a read of a value without a write proves nothing.
 func (c *checker) shrink(ops []int) []int {
-	if cut := c.prefix(ops); c.explains(cut) == porcupine.Illegal {
+	if cut := c.shortestPrefix(ops); c.check(cut) == porcupine.Illegal {
 		ops = cut
 	}
-	for lot := max(1, len(ops)/2); ; {
+	for size := max(1, len(ops)/2); ; {
 		before := len(ops)
 		for from := 0; from < len(ops); {
-			rest := c.without(ops, from, min(from+lot, len(ops)))
-			if len(rest) < len(ops) && c.explains(rest) == porcupine.Illegal {
+			rest := c.without(ops, from, min(from+size, len(ops)))
+			if len(rest) < len(ops) && c.check(rest) == porcupine.Illegal {
 				ops = rest
 			} else {
-				from += lot
+				from += size
 			}
 		}
-		if lot == 1 && len(ops) == before {
+		if size == 1 && len(ops) == before {
 			return ops
 		}
-		lot = max(1, lot/2)
+		size = max(1, size/2)
 	}
 }
 
-// prefix is the shortest beginning, by the end of operations, that no order explains.
-func (c *checker) prefix(ops []int) []int {
+// shortestPrefix returns the shortest prefix, by begin time, that is not linearizable.
+func (c *checker) shortestPrefix(ops []int) []int {
 	sorted := slices.Clone(ops)
 	slices.SortFunc(sorted, func(a, b int) int { return int(c.h.Ops[a].Begin - c.h.Ops[b].Begin) })
 	n, _ := slices.BinarySearchFunc(seq(len(sorted)), porcupine.Illegal, func(n int, _ porcupine.CheckResult) int {
-		if c.explains(c.written(sorted[:n+1], ops)) == porcupine.Illegal {
+		if c.check(c.withWriters(sorted[:n+1], ops)) == porcupine.Illegal {
 			return 1
 		}
 		return -1
 	})
-	return c.written(sorted[:min(n+1, len(sorted))], ops)
+	return c.withWriters(sorted[:min(n+1, len(sorted))], ops)
 }
 
 func seq(n int) []int {
@@ -127,8 +127,8 @@
 	return s
 }
 
-// written is some operations with the writes that their reads returned.
-func (c *checker) written(some, all []int) []int {
+// withWriters returns some operations and the writes whose values they read.
+func (c *checker) withWriters(some, all []int) []int {
 	in := map[int]bool{}
 	for _, i := range some {
 		in[i] = true
@@ -141,7 +141,7 @@
 	return slices.DeleteFunc(slices.Clone(all), func(i int) bool { return !in[i] })
 }
 
-// without is ops less those of a lot, but for writes that one of the rest returned.
+// without returns ops without those from from to to, except writes whose values a remaining read returned.
 func (c *checker) without(ops []int, from, to int) []int {
 	needed := map[int]bool{}
 	for k, i := range ops {
--- a/lab/history/sessions.go
+++ b/lab/history/sessions.go
@@ -5,32 +5,32 @@
 	"maps"
 )
 
-// how is by what a client came to have seen a version.
-type how uint8
+// source is how a version entered a client's causal past.
+type source uint8
 
 const (
-	own     how = iota // its own write
-	read               // its own read
-	behind             // it saw a version whose writer had seen it
-	handed             // another session's token was handed over
-	numHows int = iota
+	ownWrite   source = iota // written by the client
+	ownRead                  // read by the client
+	viaWriter                // in the causal past of the writer of a version that the client read
+	viaToken                 // through a token passed on by another session
+	numSources int    = iota
 )
 
-// entry is the newest version of a key that a client must see from now on, and the operations by which that is so.
+// entry is the oldest version of a key that a client may read from now on, and the operations from which that follows.
 type entry struct {
-	v   *version
-	how how
-	ops *step
+	v      *version
+	source source
+	chain  *step
 }
 
-// step is one operation on the way, the last one first.
+// step is one operation of a chain, the last one first.
 type step struct {
 	op   int
 	prev *step
 	len  int
 }
 
-func (s *step) then(op int) *step {
+func (s *step) extend(op int) *step {
 	if s != nil && s.op == op {
 		return s
 	}
@@ -48,31 +48,31 @@
 	return ops
 }
 
-// front is what a client has seen and done, by key. It is never changed once it is an operation's.
-type front struct{ seen map[place]entry }
+// past is a client's causal past: the newest version seen of each key. It is immutable once assigned to an operation.
+type past struct{ seen map[key]entry }
 
-var nothing = &front{}
+var emptyPast = &past{}
 
-func (f *front) at(p place) (entry, bool) {
+func (f *past) at(p key) (entry, bool) {
 	e, ok := f.seen[p]
 	return e, ok
 }
 
-// with is the front with another's entries, each as turned, where they are newer than what it has, or as new with
-// fewer steps.
-func (f *front) with(entries map[place]entry, turned func(place, entry) (entry, bool)) *front {
-	var out *front
+// merge returns the past with other entries, each after conversion, where these are newer, or equal with a shorter
+// chain.
+func (f *past) merge(entries map[key]entry, convert func(key, entry) (entry, bool)) *past {
+	var out *past
 	for p, e := range entries {
-		was, ok := f.seen[p]
-		if ok && (was.v.order > e.v.order || was.v.order == e.v.order && was.ops.len <= e.ops.len) {
+		known, ok := f.seen[p]
+		if ok && (known.v.order > e.v.order || known.v.order == e.v.order && known.chain.len <= e.chain.len) {
 			continue
 		}
-		if e, ok = turned(p, e); !ok || was.v == e.v && was.ops.len <= e.ops.len {
+		if e, ok = convert(p, e); !ok || known.v == e.v && known.chain.len <= e.chain.len {
 			continue
 		}
 		if out == nil {
-			if out = (&front{maps.Clone(f.seen)}); out.seen == nil {
-				out.seen = map[place]entry{}
+			if out = (&past{maps.Clone(f.seen)}); out.seen == nil {
+				out.seen = map[key]entry{}
 			}
 		}
 		out.seen[p] = e
@@ -83,116 +83,117 @@
 	return out
 }
 
-func asIs(_ place, e entry) (entry, bool) { return e, true }
+func unchanged(_ key, e entry) (entry, bool) { return e, true }
 
-// States of the walk.
+// States of visit.
 const (
-	untouched uint8 = iota
-	begun
-	settled
+	unvisited uint8 = iota
+	visiting
+	visited
 )
 
-// sessions judges what each session must have seen: what its token stands for, by values.
-func (c *checker) sessions() {
+// checkSessions checks that each session reads the versions covered by its tokens, or newer ones.
+func (c *checker) checkSessions() {
 	for i := range c.h.Ops {
-		c.walk(i)
+		c.visit(i)
 	}
 	for i := range c.h.Ops {
-		c.judge(i)
+		c.checkOp(i)
 	}
 }
 
-// walk settles what an operation's client had seen before and after it. What it builds on ended before it began,
-// or is the write that it read, so the walk ends; what a broken history makes of a circle counts as unseen.
-func (c *checker) walk(i int) {
-	if c.state[i] != untouched {
+// visit computes the causal past before and after an operation. Its predecessors ended before it began, or are the
+// write whose value it read, so the recursion ends; in an invalid history, a cycle is cut at the operation being
+// visited.
+func (c *checker) visit(i int) {
+	if c.state[i] != unvisited {
 		return
 	}
-	c.state[i] = begun
+	c.state[i] = visiting
 	op := &c.h.Ops[i]
-	before := nothing
+	before := emptyPast
 	for _, id := range op.Carries {
 		j, ok := c.byID[id]
 		if !ok {
 			continue
 		}
-		c.walk(j)
+		c.visit(j)
 		if c.after[j] == nil {
 			continue
 		}
 		if from := c.h.Ops[j].Session; from == op.Session {
-			before = before.with(c.after[j].seen, asIs)
+			before = before.merge(c.after[j].seen, unchanged)
 		} else {
-			before = before.with(c.after[j].seen, func(_ place, e entry) (entry, bool) { return entry{e.v, handed, e.ops.then(j)}, true })
+			before = before.merge(c.after[j].seen, func(_ key, e entry) (entry, bool) { return entry{e.v, viaToken, e.chain.extend(j)}, true })
 		}
 	}
 	c.before[i] = before
-	c.after[i] = c.adds(i, before)
-	c.state[i] = settled
+	c.after[i] = c.pastAfter(i, before)
+	c.state[i] = visited
 }
 
-// adds is a front with what an operation itself shows its client: the version that it wrote or read, and of the
-// same slice all that the writer of that version had seen.
-func (c *checker) adds(i int, f *front) *front {
+// pastAfter returns the causal past after an operation: f, the version that it wrote or read, and the causal past of
+// that version's writer in the same slice.
+func (c *checker) pastAfter(i int, f *past) *past {
 	op := &c.h.Ops[i]
 	v := c.versions[op.Value]
 	if op.Ended != Served || op.Value == "" || v == nil || v.Lost {
 		return f
 	}
-	at, how := place{v.Slice, v.Key}, own
+	at, source := key{v.Slice, v.Key}, ownWrite
 	if op.Kind == Read {
-		how = read
-		f = c.behind(i, v, f)
+		source = ownRead
+		f = c.mergeWriterPast(i, v, f)
 	}
-	return f.with(map[place]entry{at: {v, how, (*step)(nil).then(i)}}, asIs)
+	return f.merge(map[key]entry{at: {v, source, (*step)(nil).extend(i)}}, unchanged)
 }
 
-// behind is a front with what the writer of a version that was read had seen.
-func (c *checker) behind(i int, v *version, f *front) *front {
-	if v.by < 0 {
+// mergeWriterPast returns f merged with the causal past of the writer of v, which operation i read.
+func (c *checker) mergeWriterPast(i int, v *version, f *past) *past {
+	if v.writer < 0 {
 		return f
 	}
-	c.walk(v.by)
-	past := c.before[v.by]
+	c.visit(v.writer)
+	past := c.before[v.writer]
 	if past == nil {
 		return f
 	}
-	return f.with(past.seen, func(p place, e entry) (entry, bool) {
-		return entry{e.v, behind, e.ops.then(v.by).then(i)}, p.slice == v.Slice && p.key != v.Key
+	return f.merge(past.seen, func(p key, e entry) (entry, bool) {
+		return entry{e.v, viaWriter, e.chain.extend(v.writer).extend(i)}, p.slice == v.Slice && p.key != v.Key
 	})
 }
 
-// judge compares what an operation returned, or where its write came, with what its client had seen of the key.
-func (c *checker) judge(i int) {
+// checkOp compares the version that an operation read or wrote with the version of the key in its causal past.
+func (c *checker) checkOp(i int) {
 	op := &c.h.Ops[i]
 	if op.Ended != Served {
 		return
 	}
-	must, ok := c.before[i].at(place{op.Slice, op.Key})
+	required, ok := c.before[i].at(key{op.Slice, op.Key})
 	if !ok {
 		return
 	}
-	rule := [numHows]int{own: ReadYourWrites, read: MonotonicReads, behind: WritesFollowReads, handed: CausalOrder}[must.how]
+	rule := [numSources]int{ownWrite: ReadYourWrites, ownRead: MonotonicReads, viaWriter: WritesFollowReads, viaToken: CausalOrder}[required.source]
 	if op.Kind == Write {
-		if rule = WritesFollowReads; must.how == own {
+		if rule = WritesFollowReads; required.source == ownWrite {
 			rule = MonotonicWrites
 		}
 	}
 	got, known := c.orderOf(op)
 	if op.Kind == Write && !known {
-		return // a promotion left it out
+		return // lost by a promotion
 	}
 	c.rules[rule].Chances++
-	if !known || got >= must.v.order {
+	if !known || got >= required.v.order {
 		return
 	}
-	text := fmt.Sprintf("%s read %q of %s/%s, and had seen %q", op.Session, op.Value, op.Slice, op.Key, must.v.Value)
+	text := fmt.Sprintf("%s read %q of %s/%s, and had seen %q", op.Session, op.Value, op.Slice, op.Key, required.v.Value)
 	if op.Kind == Write {
-		text = fmt.Sprintf("%s's write %q of %s/%s came before %q, which it had seen", op.Session, op.Value, op.Slice, op.Key, must.v.Value)
+		text = fmt.Sprintf("%s's write %q of %s/%s came before %q, which it had seen", op.Session, op.Value, op.Slice, op.Key, required.v.Value)
 	}
-	ops := append(must.ops.list(), i, must.v.by)
+	ops := append(required.chain.list(), i, required.v.writer)
 	if op.Kind == Read {
 		ops = append(ops, c.writer(op))
 	}
-	c.broken(rule, text, ops...)
+	c.addViolation(rule, text, ops...)
 }
