--- a/lab/memory/memory.go
+++ b/lab/memory/memory.go
@@ -1,5 +1,6 @@
-// Package memory runs a driver as a process of its own under a limit on its memory, with more streams, nodes, slow
-// readers and calls than it can hold, and judges what the operating system says that it took.
+// Package memory checks that a driver process stays within its memory limit under more streams, nodes, slow readers and
+// calls than it can hold. Its input is a Spec, its output a report on the resident memory measured by the operating
+// system and on the answers to a steady client. The command "lab memory" and its test call it.
 package memory
 
 import (
@@ -30,40 +31,40 @@
 	"umberladder/standin"
 )
 
-// Spec is what a driver must bear within its memory.
+// Spec describes the load that a driver must handle within its memory limit.
 type Spec struct {
-	Program string // the driver's own program
-	Limit   int    // bytes
-	Streams int    // open client streams that wait
-	Nodes   int    // of the inventory; those beyond the reachable ones refuse connections
-	Reach   int    // nodes that answer
+	Program string // path of the driver's executable
+	Limit   int    // memory limit in bytes
+	Streams int    // open idle client streams
+	Nodes   int    // nodes in the inventory; those beyond the reachable ones refuse connections
+	Reach   int    // reachable nodes
 	Slow    int    // clients that read large rows slowly
-	Crowd   int    // calls that come all at once
+	Crowd   int    // calls sent at once
 	Seed    uint64
 }
 
-// run is one run under way.
+// run is the state of one run.
 type run struct {
-	spec   Spec
-	dir    string
-	groups []*standin.Group
-	clean  []func()
-	addr   string
-	driver *exec.Cmd
-	peak   atomic.Int64 // bytes resident
-	slow   atomic.Int64 // bytes that slow readers got
-	watch  atomic.Int64 // streams that are open
-	served atomic.Int64
-	turned atomic.Int64
-	lost   atomic.Int64
-	kept   atomic.Int64 // streams that were refused
-	last   atomic.Value // why the steady client was not served last
-	lines  []string
+	spec           Spec
+	dir            string
+	groups         []*standin.Group
+	clean          []func()
+	addr           string
+	driver         *exec.Cmd
+	peak           atomic.Int64 // bytes resident
+	slowBytes      atomic.Int64 // bytes received by slow readers
+	streams        atomic.Int64 // open streams
+	steadyServed   atomic.Int64
+	burstRefused   atomic.Int64
+	steadyFailed   atomic.Int64
+	streamsRefused atomic.Int64 // streams refused by the driver
+	lastError      atomic.Value // text of the steady client's last error
+	notes          []string
 }
 
-// Run starts a driver in a process of its own with a limit on its memory, and has it bear a large inventory, many
-// open streams, slow readers of large rows and a crowd, one after the other and then all at once. It judges the
-// resident memory that the system tells, and that a steady client was served meanwhile.
+// Run starts a driver process with a memory limit and adds one load after the other: a large inventory, many open
+// streams, slow readers of large rows, and a burst of calls. It checks the peak of resident memory and that a steady
+// client is served after the burst. An error says that the run could not be set up.
 func Run(spec Spec) (*lab.Report, error) {
 	m := &run{spec: spec}
 	defer m.close()
@@ -73,24 +74,24 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	var all sync.WaitGroup
-	all.Go(func() { m.follow(ctx) })
+	all.Go(func() { m.samplePeak(ctx) })
 	steady, err := m.dial()
 	if err != nil {
 		return nil, err
 	}
-	all.Go(func() { m.steady(ctx, pb.NewDriverClient(steady)) })
+	all.Go(func() { m.runSteadyClient(ctx, pb.NewDriverClient(steady)) })
 	m.note("inventory of %d nodes, %d of them reachable", spec.Nodes, spec.Reach)
 	if err := m.openStreams(ctx, &all); err != nil {
 		return nil, err
 	}
-	m.note("%d open streams beside, %d refused", m.watch.Load(), m.kept.Load())
-	m.slowReaders(ctx, &all)
+	m.note("%d open streams, %d refused", m.streams.Load(), m.streamsRefused.Load())
+	m.startSlowReaders(ctx, &all)
 	time.Sleep(3 * time.Second)
-	m.note("%d clients that read rows of %d KiB slowly beside, %d KiB read so far", spec.Slow, slowRow>>10, m.slow.Load()>>10)
-	m.crowd(ctx)
-	m.note("%d calls at once beside: %d refused", spec.Crowd, m.turned.Load())
-	after := m.goesOn()
-	m.note("after the crowd the steady client has %d more answers (last refusal: %v)", after, m.last.Load())
+	m.note("%d slow readers of rows of %d KiB, %d KiB read so far", spec.Slow, slowRowBytes>>10, m.slowBytes.Load()>>10)
+	m.burst(ctx)
+	m.note("%d calls at once: %d refused", spec.Crowd, m.burstRefused.Load())
+	after := m.awaitProgress()
+	m.note("after the burst the steady client received %d answers (last error: %v)", after, m.lastError.Load())
 	r := m.report(after)
 	cancel()
 	if err := m.stop(); err != nil {
@@ -100,24 +101,25 @@
 	return r, nil
 }
 
-// goesOn waits for answers to the steady client after all that, and returns how many came.
-func (m *run) goesOn() int64 {
-	before := m.served.Load()
-	for end := time.Now().Add(mostWait); m.served.Load() < before+answersAfter && time.Now().Before(end); {
+// awaitProgress waits for minAnswers more answers to the steady client, for at most progressTimeout, and returns their
+// number.
+func (m *run) awaitProgress() int64 {
+	before := m.steadyServed.Load()
+	for end := time.Now().Add(progressTimeout); m.steadyServed.Load() < before+minAnswers && time.Now().Before(end); {
 		time.Sleep(10 * time.Millisecond)
 	}
-	return m.served.Load() - before
+	return m.steadyServed.Load() - before
 }
 
 const (
-	answersAfter = 20 // that the steady client must have after the crowd
-	mostWait     = 8 * time.Second
+	minAnswers      = 20 // answers that the steady client must receive after the burst
+	progressTimeout = 8 * time.Second
 )
 
-const slowRow = 256 << 10 // bytes of a row for slow readers
+const slowRowBytes = 256 << 10 // row size for slow readers
 
 func (m *run) note(format string, args ...any) {
-	m.lines = append(m.lines, fmt.Sprintf("%s; resident at most %d MiB so far", fmt.Sprintf(format, args...), m.peak.Load()>>20))
+	m.notes = append(m.notes, fmt.Sprintf("%s; resident at most %d MiB so far", fmt.Sprintf(format, args...), m.peak.Load()>>20))
 }
 
 func (m *run) close() {
@@ -129,7 +131,7 @@
 	}
 }
 
-// start puts up stand-ins, writes settings and inventory, and starts the driver.
+// start starts stand-in nodes, writes settings and inventory, and starts the driver.
 func (m *run) start() (err error) {
 	if m.dir, err = os.MkdirTemp("", "umberladder-memory"); err != nil {
 		return err
@@ -185,7 +187,7 @@
 	return m.awaitServing(out.Name())
 }
 
-// awaitServing returns once a read was served.
+// awaitServing waits up to a minute until a read is served.
 func (m *run) awaitServing(log string) error {
 	c, err := m.dial()
 	if err != nil {
@@ -198,7 +200,7 @@
 		}
 	}
 	text, _ := os.ReadFile(log)
-	return fmt.Errorf("the driver serves nothing: %w\n%s", last, text[max(0, len(text)-2000):])
+	return fmt.Errorf("driver served no read within 1 min: %w\n%s", last, text[max(0, len(text)-2000):])
 }
 
 func (m *run) dial() (*grpc.ClientConn, error) {
@@ -219,47 +221,47 @@
 	return err
 }
 
-// steady calls again and again, as a client does that has nothing to do with the others.
-func (m *run) steady(ctx context.Context, c pb.DriverClient) {
+// runSteadyClient sends calls one after the other, independent of the other clients.
+func (m *run) runSteadyClient(ctx context.Context, c pb.DriverClient) {
 	for i := 0; ctx.Err() == nil; i++ {
 		if err := m.read(ctx, c, i); err == nil {
-			m.served.Add(1)
-		} else if m.lost.Add(1); ctx.Err() == nil {
-			m.last.Store(status.Convert(err).Message())
+			m.steadyServed.Add(1)
+		} else if m.steadyFailed.Add(1); ctx.Err() == nil {
+			m.lastError.Store(status.Convert(err).Message())
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
 }
 
-// streamsOfConn is how many streams a connection carries.
-const streamsOfConn = 500
+// streamsPerConn is the number of streams on each connection.
+const streamsPerConn = 500
 
-// openStreams opens streams that stay open: watches of the driver's health, as clients with health checks hold them.
+// openStreams opens health watches, which stay open until ctx ends.
 func (m *run) openStreams(ctx context.Context, all *sync.WaitGroup) error {
 	var opening errgroup.Group
 	opening.SetLimit(64)
-	for left := m.spec.Streams; left > 0; left -= streamsOfConn {
+	for left := m.spec.Streams; left > 0; left -= streamsPerConn {
 		c, err := m.dial()
 		if err != nil {
 			return err
 		}
-		for range min(left, streamsOfConn) {
+		for range min(left, streamsPerConn) {
 			opening.Go(func() error {
 				s, err := healthpb.NewHealthClient(c).Watch(ctx, &healthpb.HealthCheckRequest{})
 				if err == nil {
 					_, err = s.Recv()
 				}
 				if status.Code(err) == codes.ResourceExhausted {
-					m.kept.Add(1)
+					m.streamsRefused.Add(1)
 					return nil
 				}
 				if err != nil {
 					return err
 				}
-				m.watch.Add(1)
+				m.streams.Add(1)
 				all.Go(func() {
 					s.Recv()
-					m.watch.Add(-1)
+					m.streams.Add(-1)
 				})
 				return nil
 			})
@@ -268,8 +270,8 @@
 	return opening.Wait()
 }
 
-// slowReaders read large rows, a row every half second.
-func (m *run) slowReaders(ctx context.Context, all *sync.WaitGroup) {
+// startSlowReaders starts clients that read large rows, one row every half second.
+func (m *run) startSlowReaders(ctx context.Context, all *sync.WaitGroup) {
 	for i := range m.spec.Slow {
 		c, err := m.dial()
 		if err != nil {
@@ -278,7 +280,7 @@
 		all.Go(func() {
 			for ctx.Err() == nil {
 				m.readSlowly(ctx, pb.NewDriverClient(c), i)
-				time.Sleep(time.Second) // as refusals advise
+				time.Sleep(time.Second) // the retry-after time of refusals
 			}
 		})
 	}
@@ -287,18 +289,18 @@
 func (m *run) readSlowly(ctx context.Context, c pb.DriverClient, i int) {
 	s, err := c.ExecuteStream(ctx, &pb.ExecuteRequest{Slice: fmt.Sprintf("slice%d", i%len(m.groups)), Class: "stats",
 		Statement: "select repeat($2, $3) from generate_series(1, $1)", Parameters: []*pb.Value{{Kind: &pb.Value_IntValue{IntValue: 200}},
-			{Kind: &pb.Value_TextValue{TextValue: "x"}}, {Kind: &pb.Value_IntValue{IntValue: slowRow}}}})
+			{Kind: &pb.Value_TextValue{TextValue: "x"}}, {Kind: &pb.Value_IntValue{IntValue: slowRowBytes}}}})
 	for err == nil && ctx.Err() == nil {
 		var chunk *pb.ExecuteChunk
 		if chunk, err = s.Recv(); err == nil && chunk.GetRow() != nil {
-			m.slow.Add(int64(len(chunk.GetRow().Values[0].GetTextValue())))
+			m.slowBytes.Add(int64(len(chunk.GetRow().Values[0].GetTextValue())))
 			time.Sleep(500 * time.Millisecond)
 		}
 	}
 }
 
-// crowd calls all at once.
-func (m *run) crowd(ctx context.Context) {
+// burst sends calls all at once and waits for their ends.
+func (m *run) burst(ctx context.Context) {
 	const conns = 20
 	var all sync.WaitGroup
 	for i := range conns {
@@ -309,7 +311,7 @@
 		for n := range m.spec.Crowd / conns {
 			all.Go(func() {
 				if m.read(ctx, pb.NewDriverClient(c), i+n) != nil {
-					m.turned.Add(1)
+					m.burstRefused.Add(1)
 				}
 			})
 		}
@@ -317,8 +319,8 @@
 	all.Wait()
 }
 
-// follow looks at the driver's resident memory.
-func (m *run) follow(ctx context.Context) {
+// samplePeak samples the driver's peak resident memory every 20 ms.
+func (m *run) samplePeak(ctx context.Context) {
 	for ctx.Err() == nil {
 		if n := process.ResidentPeak(m.driver.Process.Pid); n > m.peak.Load() {
 			m.peak.Store(n)
@@ -328,24 +330,24 @@
 }
 
 func (m *run) report(after int64) *lab.Report {
-	r := &lab.Report{Name: "memory", Seed: m.spec.Seed, Counts: map[lab.Verdict]int{lab.Served: int(m.served.Load()), lab.Refused: int(m.turned.Load() + m.lost.Load())},
-		Faults: []string{fmt.Sprintf("%d streams asked for, %d slow readers, %d calls at once", m.spec.Streams, m.spec.Slow, m.spec.Crowd)}, Notes: m.lines}
+	r := &lab.Report{Name: "memory", Seed: m.spec.Seed, Counts: map[lab.Verdict]int{lab.Served: int(m.steadyServed.Load()), lab.Refused: int(m.burstRefused.Load() + m.steadyFailed.Load())},
+		Faults: []string{fmt.Sprintf("%d streams asked for, %d slow readers, %d calls at once", m.spec.Streams, m.spec.Slow, m.spec.Crowd)}, Notes: m.notes}
 	bound := &lab.Rule{Name: "memory bounded", Chances: 1}
 	if m.peak.Load() > int64(m.spec.Limit) {
 		bound.Break("%d MiB were resident, %d are allowed", m.peak.Load()>>20, m.spec.Limit>>20)
 	}
 	going := &lab.Rule{Name: "goes on", Chances: int(after)}
-	if after < answersAfter {
-		going.Break("%d answers for the steady client in %v after the crowd", after, mostWait)
+	if after < minAnswers {
+		going.Break("%d answers for the steady client in %v after the crowd", after, progressTimeout)
 	}
 	r.Rules = []*lab.Rule{bound, going}
-	if m.peak.Load() == 0 || m.watch.Load() < 1000 || m.slow.Load() == 0 {
-		r.Missing = append(r.Missing, fmt.Sprintf("%d streams, %d bytes read slowly, %d bytes resident", m.watch.Load(), m.slow.Load(), m.peak.Load()))
+	if m.peak.Load() == 0 || m.streams.Load() < 1000 || m.slowBytes.Load() == 0 {
+		r.Missing = append(r.Missing, fmt.Sprintf("%d streams, %d bytes read slowly, %d bytes resident", m.streams.Load(), m.slowBytes.Load(), m.peak.Load()))
 	}
 	return r
 }
 
-// stop ends the driver as an operator would.
+// stop ends the driver with SIGTERM and waits for it.
 func (m *run) stop() error {
 	m.driver.Process.Signal(syscall.SIGTERM)
 	err := m.driver.Wait()
--- a/lab/process/process.go
+++ b/lab/process/process.go
@@ -1,4 +1,6 @@
-// Package process tells what the operating system knows of a running process, from Linux's /proc.
+// Package process reads resource usage of running processes from Linux's /proc. Its input is a process id; its output
+// is the peak resident memory in bytes or the number of open file descriptors. Packages lab/memory and lab/soak call it
+// to observe driver processes.
 package process
 
 import (
@@ -9,7 +11,7 @@
 	"strings"
 )
 
-// ResidentPeak is the most memory of a process that was ever resident, in bytes; 0 if the process is gone.
+// ResidentPeak returns the peak resident memory of a process in bytes, 0 if the process does not exist.
 func ResidentPeak(pid int) int64 {
 	f, err := os.Open(fmt.Sprintf("/proc/%d/status", pid))
 	if err != nil {
@@ -30,7 +32,7 @@
 	return 0
 }
 
-// OpenFiles is how many file descriptors a process has open; ok is false if it is gone.
+// OpenFiles returns the number of open file descriptors of a process; ok is false if the process does not exist.
 func OpenFiles(pid int) (count int, ok bool) {
 	entries, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", pid))
 	return len(entries), err == nil
