--- a/lab/history/history_test.go
+++ b/lab/history/history_test.go
@@ -243,8 +243,8 @@
 	h := &History{}
 	newest := map[string]int{} // key to order
 	byKey := map[string][]int{}
-	type place struct{ last, order int } // its last operation, and the log position that it has seen
-	all := make([]place, sessions)
+	type progress struct{ last, order int } // its last operation, and the log position that it has seen
+	all := make([]progress, sessions)
 	for s := range all {
 		all[s].last = -1
 	}
--- a/lab/history/linearize.go
+++ b/lab/history/linearize.go
@@ -141,7 +141,7 @@
 	return slices.DeleteFunc(slices.Clone(all), func(i int) bool { return !in[i] })
 }
 
-// without returns ops without those from from to to, except writes whose values a remaining read returned.
+// without returns ops less ops[from:to], but keeps writes whose values a remaining read returned.
 func (c *checker) without(ops []int, from, to int) []int {
 	needed := map[int]bool{}
 	for k, i := range ops {
--- a/lab/history/sessions.go
+++ b/lab/history/sessions.go
@@ -23,7 +23,7 @@
 	chain  *step
 }
 
-// step is one operation of a chain, the last one first.
+// step is the last operation of a chain of operations, linked to the one before it.
 type step struct {
 	op   int
 	prev *step
@@ -58,8 +58,8 @@
 	return e, ok
 }
 
-// merge returns the past with other entries, each after conversion, where these are newer, or equal with a shorter
-// chain.
+// merge returns the past merged with other entries, each passed through convert. An entry replaces the present one if
+// its version is newer, or the same with a shorter chain.
 func (f *past) merge(entries map[key]entry, convert func(key, entry) (entry, bool)) *past {
 	var out *past
 	for p, e := range entries {
--- a/lab/world/host.go
+++ b/lab/world/host.go
@@ -94,7 +94,7 @@
 	h.deliverList(kind, h.w.nodeList(), h.w.nodeLives())
 }
 
-// deliverList delivers a node list and the lives of all nodes at the same time.
+// deliverList delivers a node list and the lives that all nodes had when the list was made.
 func (h *host) deliverList(kind balance.ListKind, nodes []driver.Node, lives []balance.Life) {
 	h.enqueue(driver.Event{Kind: driver.EventList, List: kind, Nodes: nodes})
 	h.newLives = lives
--- a/lab/world/trouble.go
+++ b/lab/world/trouble.go
@@ -277,7 +277,7 @@
 	w.schedule(w.now+down, n.restart)
 }
 
-// restart starts a node cold; a replica has caught up with the log.
+// restart starts a crashed node, cold. A replica has caught up with the log.
 func (n *node) restart() {
 	s := n.slice
 	n.down, n.timeline, n.startedAt, n.coldArrivals, n.coldBroken = false, s.timeline, s.w.now, nil, false
