--- a/lab/history/history.go
+++ b/lab/history/history.go
@@ -78,7 +78,7 @@
 	Part []Op // the operations that prove it, by begin time
 }
 
-// String returns the text, followed by one line per operation of Part.
+// String returns the text, followed by one line per operation.
 func (v *Violation) String() string {
 	var b strings.Builder
 	b.WriteString(v.Text)
