--- a/lab/world/host.go
+++ b/lab/world/host.go
@@ -215,7 +215,7 @@
 	}
 	full := l.node.cap > 0 && len(l.node.links) >= l.node.cap
 	if full {
-		w.result.Full++
+		w.result.RefusedConnections++
 	}
 	if l.node.down || !ok || full {
 		l.closed = true
--- a/lab/world/node.go
+++ b/lab/world/node.go
@@ -141,7 +141,7 @@
 	}
 	epoch := n.epoch
 	if w := n.slice.w; write && (n.timeline < g.Timeline || g.Until > 0 && w.now.Microseconds() > g.Until) {
-		w.result.Guarded++
+		w.result.GuardedWrites++
 		l.reply(driver.Result{Guarded: true, Asking: true, Facts: n.facts(), Err: &pgwire.Error{Severity: "ERROR", Code: "22012", Message: "division by zero"}})
 		return
 	}
@@ -252,7 +252,7 @@
 			}
 			old.stop()
 			w.schedule(w.now+w.cfg.Elect, s.promote)
-			w.schedule(w.now+w.cfg.Elect+w.cfg.Down, func() {
+			w.schedule(w.now+w.cfg.Elect+w.cfg.Downtime, func() {
 				old.down, old.timeline = false, s.timeline
 				old.applied, old.replayFreeAt = []commit{{lsn: s.lsn, at: w.now}}, w.now
 			})
--- a/lab/world/rules_test.go
+++ b/lab/world/rules_test.go
@@ -137,7 +137,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if r.Full == 0 || r.Served < r.Requests/2 || len(r.Broken) > 0 {
-		t.Errorf("%d turned away, %d of %d served, %v", r.Full, r.Served, r.Requests, r.Broken)
+	if r.RefusedConnections == 0 || r.Served < r.Requests/2 || len(r.Broken) > 0 {
+		t.Errorf("%d turned away, %d of %d served, %v", r.RefusedConnections, r.Served, r.Requests, r.Broken)
 	}
 }
--- a/lab/world/world.go
+++ b/lab/world/world.go
@@ -47,7 +47,7 @@
 	Shares   []float64     // share of each class in the requests
 	Crashes  int           // number of primary crashes
 	Elect    time.Duration // from a primary's crash to the promotion of a replica
-	Down     time.Duration // from that promotion to the restart of the crashed node
+	Downtime time.Duration // from that promotion to the restart of the crashed node
 	Lags     []float64     // by member, factor on the time to replay a record; 1 for members beyond its end
 	Sessions int           // client sessions per driver
 	Visits   int           // slices that one session uses; 0 for all
@@ -122,8 +122,8 @@
 	Broken                            []string       // broken rules, one line each, at most 100
 	Digest                            uint64         // hash over all answers in order
 	Tried                             map[string]int // chances to break each rule, by rule
-	Guarded                           int            // writes stopped by a node's guard
-	Full                              int            // connections refused by nodes at their limit
+	GuardedWrites                     int            // writes stopped by a node's guard
+	RefusedConnections                int            // connections refused by nodes at their limit
 }
 
 // World is the state of one simulation run.
