--- a/server/admit.go
+++ b/server/admit.go
@@ -19,7 +19,8 @@
 	"umberladder/settings"
 )
 
-// frontEnd guards the admission gate for concurrent handlers. Requests that it refuses do not reach the loop.
+// frontEnd serializes the access of concurrent handlers to the admission gate. Requests that the gate refuses do not
+// reach the loop.
 type frontEnd struct {
 	now func() time.Duration
 
@@ -46,9 +47,9 @@
 	if f.gate == nil {
 		return nil, nil
 	}
-	ask := admission.Request{Client: clientOf(ctx), Slice: req.Slice, Class: class, Bytes: proto.Size(req), Attempt: attemptOf(ctx)}
+	arrival := admission.Request{Client: clientOf(ctx), Slice: req.Slice, Class: class, Bytes: proto.Size(req), Attempt: attemptOf(ctx)}
 	f.mu.Lock()
-	t, v := f.gate.Admit(f.now(), ask)
+	t, v := f.gate.Admit(f.now(), arrival)
 	f.mu.Unlock()
 	if v.Reason == admission.Admitted {
 		return t, nil
@@ -92,7 +93,7 @@
 	f.gate.ObserveLoopDelay(f.now(), waited)
 }
 
-// stats returns the gate's current figures, or none if admission control is off.
+// stats returns the gate's current figures, or the zero Stats if admission control is off.
 func (f *frontEnd) stats() admission.Stats {
 	if f.gate == nil {
 		return admission.Stats{}
@@ -122,8 +123,8 @@
 // maxClientName is the maximum length of a client's name, in bytes. Longer names are ignored.
 const maxClientName = 64
 
-// attemptOf returns the number of a client's attempt, 0 for the first, as counted by gRPC's own retries or by package
-// carry.
+// attemptOf returns the number of a client's attempt, 0 for the first: the highest of those that gRPC's own retries and
+// the attempt header of package propagation give.
 func attemptOf(ctx context.Context) int {
 	md, _ := metadata.FromIncomingContext(ctx)
 	highest := 0
--- a/server/answermemory.go
+++ b/server/answermemory.go
@@ -14,7 +14,7 @@
 type answerMemory struct {
 	size   int64
 	budget *semaphore.Weighted
-	leases *semaphore.Weighted // of streams, for a row that the client's transport may hold as long as the stream lasts
+	leases *semaphore.Weighted // memory for the longest row of each stream, held until the stream ends
 }
 
 // splitAnswerMemory divides size bytes: a half for unstreamed answers, a quarter for rows in flight, a quarter for
@@ -34,8 +34,8 @@
 	longRowBytes   = 64 << 10  // bytes: what gRPC's transport queues for a stream before it blocks the sender
 )
 
-// grow reserves memory for an unstreamed answer of the current size. It does not wait: answers that each hold a part
-// and wait for more would deadlock.
+// grow reserves memory for an unstreamed answer of the current size and reports whether it was available. It does not
+// wait: answers that each hold a part and wait for more would deadlock.
 func (r *reply) grow() bool {
 	if r.memory == nil || int64(r.size) <= r.reserved+memoryStep {
 		return true
@@ -56,14 +56,14 @@
 	}
 }
 
-// stream forwards rows as they arrive, once the loop has permitted it. Memory for a row and its copies is reserved
-// before the row is read, if it is long, and released when the client's transport has it. Readers wait for memory in
-// order, and hold nothing for the row that they wait for, so that every stream makes progress as long as clients read
-// or are disconnected.
+// stream forwards rows as they arrive, once the loop has permitted it. Memory for a row and its copies is reserved, for
+// a long row before it is read, and released when the client's transport has accepted the row. Readers wait for memory
+// in order and reserve nothing for a row until all its memory is available, so that every stream makes progress as long
+// as clients read or are disconnected.
 type stream struct {
 	reply
 	ctx         context.Context // ends with the client's call
-	opened      chan struct{}
+	opened      chan struct{}   // closed when the loop permits the answer
 	rowsCh      chan queuedRow
 	queueBudget *semaphore.Weighted
 
--- a/server/answermemory_test.go
+++ b/server/answermemory_test.go
@@ -28,14 +28,14 @@
 			}
 			replies = append(replies, r)
 		}
-		whole := int64(0)
+		total := int64(0)
 		for _, r := range replies {
-			if whole += r.reserved; r.noMemory && (len(r.rows) > 0 || r.reserved > 0) {
+			if total += r.reserved; r.noMemory && (len(r.rows) > 0 || r.reserved > 0) {
 				t.Fatal("an answer that got no memory keeps rows or a reservation")
 			}
 		}
-		if whole > size {
-			t.Fatalf("%d bytes are reserved, the limit is %d", whole, size)
+		if total > size {
+			t.Fatalf("%d bytes are reserved, the limit is %d", total, size)
 		}
 		var all sync.WaitGroup
 		for range rapid.IntRange(1, 4).Draw(t, "streams") {
@@ -84,7 +84,7 @@
 }
 
 // TestSlowReadersAreBounded: rows queue up for clients that do not read until each stream's own limit or the shared
-// memory is reached. Once clients read, all streams proceed, also one with a row longer than the whole memory.
+// memory is reached. Once clients read, all streams proceed, also one with a row longer than all of the memory.
 func TestSlowReadersAreBounded(t *testing.T) {
 	const long = 32 << 10
 	memory := newAnswerMemory(10 * rowCopies * (long + 128))
--- a/server/chunksender.go
+++ b/server/chunksender.go
@@ -9,8 +9,8 @@
 )
 
 // chunkSender sends the chunks of a streamed answer, and fails if the client takes none within the stall time.
-// Without that limit gRPC's flow control would block the stream, and with it a node connection, as long as the client
-// stays.
+// Without that limit gRPC's flow control would block the stream, and with it a node connection, until the client
+// disconnects.
 type chunkSender struct {
 	chunks chan chunk
 	result chan error // of the sending goroutine: its first error, or nil at its end
@@ -18,7 +18,7 @@
 	timer  *time.Timer
 }
 
-// chunk is a part of an answer with a function to call once the transport has it.
+// chunk is a part of an answer and a function to call once the transport has accepted it.
 type chunk struct {
 	part   *pb.ExecuteChunk
 	onSent func()
--- a/server/conn.go
+++ b/server/conn.go
@@ -55,7 +55,7 @@
 	ended      bool
 	unsent     bool // no byte of pending was accepted by the system
 	cancelKey  pgwire.Cancel
-	byParams   bool
+	byParams   bool   // the node reports its facts as parameters
 	systemID   uint64 // system identifier of the cluster as reported on this connection; owned by the reader
 }
 
@@ -198,12 +198,13 @@
 	return buf
 }
 
-// writeRemaining writes the rest of an exchange in a goroutine, which may block.
-func (c *conn) writeRemaining(b []byte, first bool) {
+// writeRemaining writes the rest of an exchange in a goroutine, which may block. nothingSent says that the socket has
+// accepted no byte of the exchange yet.
+func (c *conn) writeRemaining(b []byte, nothingSent bool) {
 	c.writes.Go(func() {
 		if n, err := c.nc.Write(b); err != nil {
 			c.mu.Lock()
-			c.unsent = first && n == 0
+			c.unsent = nothingSent && n == 0
 			c.mu.Unlock()
 			c.nc.Close()
 		}
@@ -283,7 +284,7 @@
 		}
 		return e
 	}
-	return fmt.Errorf("message %q though nothing was asked of the node", typ)
+	return fmt.Errorf("message %q while no query was pending", typ)
 }
 
 // awaitOpen asks the loop whether a streamed answer may go to its client, and waits until the loop permits it.
@@ -301,7 +302,8 @@
 	}
 }
 
-// resultWith returns the exchange's result with the given end, and stores the statement's error in its sink.
+// resultWith returns the exchange's result with the given end. It stores the statement's error in the sink and releases
+// the answer memory of an unstreamed answer.
 func (x *exchange) resultWith(end driver.End) driver.Result {
 	r := x.result
 	r.End = end
@@ -361,5 +363,5 @@
 	}
 }
 
-// encodable reports whether a text can be sent as a value or statement: the protocol ends strings at a zero byte.
+// encodable reports whether a text can be sent as a value or statement: the protocol ends strings at a NUL byte.
 func encodable(s string) bool { return strings.IndexByte(s, 0) < 0 }
--- a/server/exchange.go
+++ b/server/exchange.go
@@ -136,7 +136,7 @@
 		return x.handleReady(body)
 	case pgwire.MsgCopyInResponse, pgwire.MsgCopyOutResponse, pgwire.MsgCopyBothResponse:
 		// Closing the connection makes the node roll back; nothing else ends a COPY as reliably.
-		x.reject("0A000", "COPY is not carried; use INSERT or SELECT")
+		x.reject("0A000", "COPY is not supported; use INSERT or SELECT")
 		return true, nil
 	}
 	if x.skipping || len(x.remaining) == 0 {
@@ -174,7 +174,7 @@
 func (x *exchange) unexpected(typ byte) error {
 	where := "after the end"
 	if len(x.remaining) > 0 {
-		where = [...]string{"in the answer to the facts", "in the answer to the statement", "before ReadyForQuery", "in the answer to the guard"}[x.remaining[0]]
+		where = [...]string{"in the answer to the facts query", "in the answer to the statement", "before ReadyForQuery", "in the answer to the guard"}[x.remaining[0]]
 	}
 	return fmt.Errorf("message %q %s", typ, where)
 }
@@ -257,7 +257,7 @@
 		return err
 	case pgwire.MsgCommandComplete:
 		if !x.currentFacts().Known {
-			return fmt.Errorf("no row in the answer to the facts")
+			return fmt.Errorf("no row in the answer to the facts query")
 		}
 		x.remaining = x.remaining[1:]
 		return nil
--- a/server/facts.go
+++ b/server/facts.go
@@ -41,7 +41,7 @@
   ELSE ('x' || substr(pg_walfile_name(pg_current_wal_lsn()), 1, 8))::bit(32)::int END), 8, '0') || '.history', true)`
 
 // factsSQL queries an unmodified server for whether it is in recovery, its log position and timeline, the finished
-// transactions, how much log a replica has received, and the isolation of transactions.
+// transactions, how much log a replica has received, the isolation of transactions, and the node's clock.
 //
 // A primary reports the insert position of its log, written or not, because commits with synchronous_commit off are
 // visible before they are written. Its timeline is part of the name of its current log file. A replica's timeline is
@@ -61,15 +61,13 @@
 // settings of role, database and server, and reported with every answer.
 const isolation = "read committed"
 
-// Parameters in which a node may report the same facts unasked, with every ReadyForQuery after a change. PostgreSQL
-// reports the first by itself; the others need an extension that marks them for reporting: timeline and replayed or
-// written position as TIMELINE:LSN, the snapshot of factsSQL, and for a replica the end of the record being replayed
-// or, if unknown, of the received log.
+// Parameters in which a node may report the same facts without a query, with every ReadyForQuery after a change.
+// PostgreSQL reports paramStandby by itself; the others need an extension that marks them for reporting.
 const (
 	paramStandby  = "in_hot_standby"
-	paramPosition = "umberladder.position"
-	paramXID      = "umberladder.xid"
-	paramReceived = "umberladder.received"
+	paramPosition = "umberladder.position" // a primary's written or a replica's replayed position, as TIMELINE:LSN
+	paramXID      = "umberladder.xid"      // the snapshot of factsSQL, or a transaction ID; see parseSnapshot
+	paramReceived = "umberladder.received" // on a replica: end of the record being replayed or, if unknown, of the received log
 )
 
 // Columns of the row that factsSQL returns; pollSQL adds the last four.
@@ -162,8 +160,8 @@
 	return forks, nil
 }
 
-// factsOfParams parses the facts that a node reported as parameters. They are not Known if a parameter is missing or
-// malformed.
+// factsOfParams parses the facts that a node reported as parameters. They are not Known if paramStandby or
+// paramPosition is missing, or if any of them is malformed.
 func factsOfParams(params map[string]string) driver.Facts {
 	timeline, lsn, ok := strings.Cut(params[paramPosition], ":")
 	standby, reported := params[paramStandby]
@@ -198,7 +196,7 @@
 	return err
 }
 
-// parseSnapshot parses a snapshot, or, as nodes may send it in parameters, a single transaction id: all transactions
+// parseSnapshot parses a snapshot, or, as nodes may send it in parameters, a single transaction ID: all transactions
 // below it are finished on a primary, and a replica shows none at or above it.
 func parseSnapshot(text string) (position.Snapshot, error) {
 	if id, err := strconv.ParseUint(text, 10, 64); err == nil {
--- a/server/follow.go
+++ b/server/follow.go
@@ -25,13 +25,13 @@
 // lastGoodName is the name of the file in the state directory that holds the last valid inventory.
 const lastGoodName = "inventory.last"
 
-// inventoryFollower keeps the list of nodes in line with the inventory files, by way of package membership. The
-// goroutine in loop owns the module.
+// inventoryFollower applies the inventory files to the list of nodes, by the rules of package membership. The goroutine
+// in loop owns the tracker.
 type inventoryFollower struct {
 	settings      *settings.Settings
 	log           *zap.Logger
 	watcher       *inventory.Watcher
-	module        *membership.Tracker
+	tracker       *membership.Tracker
 	start         time.Time
 	digest        uint64 // of the inventory files at the start
 	updates       chan inventory.Update
@@ -46,15 +46,15 @@
 // InventoryStatus is the state of the inventory as the control socket returns it.
 type InventoryStatus struct {
 	Files      []string          `json:"files"`
-	LoadedAt   time.Time         `json:"taken"`              // when the current list was read
+	LoadedAt   time.Time         `json:"taken"`              // when the list in force was read
 	Error      string            `json:"bad,omitempty"`      // why the files are not used, "" if they are
 	ErrorSince *time.Time        `json:"badSince,omitempty"` // since when the files are not used
-	Members    int               `json:"members"`
-	Held       []membership.Held `json:"held,omitempty"`
-	// Shared lists current nodes whose names resolve to one address.
+	Members    int               `json:"members"`            // number of nodes in force
+	Held       []membership.Held `json:"held,omitempty"`     // changes that are held back
+	// Shared lists nodes in force whose names resolve to one address.
 	Shared []membership.Shared `json:"shared,omitempty"`
-	// Unreachable lists nodes to which connections or polls fail. They stay in the list, and serving goes on without
-	// them.
+	// Unreachable lists nodes to which connections or polls fail. They stay in the list; requests are served by the
+	// other nodes.
 	Unreachable []Unreachable `json:"unreachable,omitempty"`
 	// Unlisted lists standbys that follow a listed node and are not in the list themselves.
 	Unlisted []Unlisted `json:"unlisted,omitempty"`
@@ -67,7 +67,7 @@
 	Why                  string
 }
 
-// Unlisted is a standby that its primary reported and the inventory lacks.
+// Unlisted is a standby that its primary, Follows, reported and that is missing from the inventory.
 type Unlisted struct{ Address, Name, Follows, Slice string }
 
 // newInventoryFollower reads the inventory that the settings name, or returns nil and the settings' nodes if they
@@ -76,7 +76,7 @@
 	if len(s.Inventory) == 0 {
 		return nil, s.Nodes, nil
 	}
-	f := &inventoryFollower{settings: s, log: log, module: membership.New(s.Members, seed), start: time.Now(),
+	f := &inventoryFollower{settings: s, log: log, tracker: membership.New(s.Members, seed), start: time.Now(),
 		updates: make(chan inventory.Update, 1), confirmations: make(chan chan InventoryStatus),
 		watcher: &inventory.Watcher{Paths: s.Inventory, Options: inventory.Options{Zones: zonesOf(s), MinMembers: s.MinMembers}}}
 	f.status.Files = s.Inventory
@@ -97,7 +97,7 @@
 	f.status.LoadedAt = u.At
 	f.resolver = newResolver(log)
 	f.resolver.request(u.Set)
-	c := f.module.List(f.now(), u.Set)
+	c := f.tracker.List(f.now(), u.Set)
 	f.recordChange(c)
 	return f, nodesOf(c.Members), nil
 }
@@ -111,7 +111,7 @@
 
 func (f *inventoryFollower) now() time.Duration { return time.Since(f.start) }
 
-// run watches the files until ctx ends, and calls set whenever the current members change.
+// run watches the files until ctx ends, and calls set whenever the members in force change.
 func (f *inventoryFollower) run(ctx context.Context, set func([]settings.Node)) error {
 	var all errgroup.Group
 	all.Go(func() error {
@@ -131,7 +131,7 @@
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
-		if at, ok := f.module.NextTick(); ok {
+		if at, ok := f.tracker.NextTick(); ok {
 			timer.Reset(max(0, at-f.now()))
 		}
 		var c membership.Change
@@ -140,7 +140,7 @@
 		case <-ctx.Done():
 			return
 		case <-timer.C:
-			c = f.module.Tick(f.now())
+			c = f.tracker.Tick(f.now())
 		case u := <-f.updates:
 			if u.Err != nil {
 				f.log.Error("inventory is invalid; keeping the last valid one: " + u.Err.Error())
@@ -150,12 +150,12 @@
 			f.saveLastGood(u)
 			f.recordValid(u)
 			f.resolver.request(u.Set)
-			c = f.module.List(f.now(), u.Set)
+			c = f.tracker.List(f.now(), u.Set)
 		case found := <-f.resolver.results:
-			c = f.module.SetAddresses(f.now(), found)
+			c = f.tracker.SetAddresses(f.now(), found)
 		case reply = <-f.confirmations:
-			c = f.module.Confirm(f.now())
-			f.log.Info("removal of the nodes that the inventory lacks is confirmed")
+			c = f.tracker.Confirm(f.now())
+			f.log.Info("removal of the nodes missing from the inventory is confirmed")
 		}
 		f.recordChange(c)
 		if c.Changed {
@@ -210,7 +210,7 @@
 		}
 	}
 	if lacked > 0 && len(c.Held) != before {
-		f.log.Warn(fmt.Sprintf("the inventory lacks %d nodes; they stay in use until their removal is confirmed: umberladder inventory apply --confirm", lacked))
+		f.log.Warn(fmt.Sprintf("%d nodes are missing from the inventory; they stay in force until their removal is confirmed: umberladder inventory apply --confirm", lacked))
 	}
 }
 
--- a/server/metrics.go
+++ b/server/metrics.go
@@ -53,7 +53,7 @@
 	gateLimit         = prometheus.NewDesc("umberladder_admission_limit", "Maximum number of requests in flight.", []string{"slice", "pool"}, nil)
 	gateOpen          = prometheus.NewDesc("umberladder_admission_open", "Requests in flight.", []string{"slice", "pool"}, nil)
 	gateShedForMemory = prometheus.NewDesc("umberladder_admission_shed_for_memory", "Classes refused because the driver is near its memory limit.", nil, nil)
-	gateShedClasses   = prometheus.NewDesc("umberladder_admission_shed_classes", "Classes refused because the driver is late.", nil, nil)
+	gateShedClasses   = prometheus.NewDesc("umberladder_admission_shed_classes", "Classes refused because the event loop is late.", nil, nil)
 )
 
 // Describe implements prometheus.Collector.
--- a/server/reply.go
+++ b/server/reply.go
@@ -17,8 +17,8 @@
 	rows       []*pb.Row
 	commandTag string
 	sqlError   *pgwire.Error // error of the statement itself
-	size       int
-	maxBytes   int // limit of size, in bytes
+	size       int           // estimated bytes of all rows; see rowSize
+	maxBytes   int           // maximum of size
 	memory     *answerMemory
 	reserved   int64 // bytes reserved in memory
 	tooBig     bool
--- a/server/server.go
+++ b/server/server.go
@@ -1,8 +1,7 @@
-// Package server runs the engine of package driver on sockets. Requests of clients come in over gRPC, and node lists
-// from the settings or the inventory files; statements go out to database nodes over PostgreSQL's protocol, and
-// operators use a control socket. Command umberladder and the laboratory make a Server with New and call Run, in
-// which one goroutine owns the engine and each node connection has a reader; docs/architecture.md follows a request
-// through it.
+// Package server runs the engine of package driver on sockets. A Server accepts requests of clients over gRPC, takes the
+// node list from the settings or the inventory files, sends statements to database nodes over PostgreSQL's protocol, and
+// serves operators on a control socket. Command umberladder and the laboratory make one with New and call Run, in which
+// one goroutine owns the engine and each node connection has a reader; docs/architecture.md follows a request through it.
 package server
 
 import (
@@ -123,10 +122,10 @@
 func engineConfig(s *settings.Settings) driver.Config {
 	return driver.Config{Router: s.Router(), Zones: s.Zones, DriverSessions: s.RouterTokens, SessionBytes: s.SessionBytes, MaxOpen: s.MaxOpen,
 		PoolSize: s.PoolSize, IdleClose: s.IdleClose, Linger: s.Linger, PollTimeout: s.PollTimeout,
-		ClockAge: s.ClockAge, AnswerMargin: s.AnswerMargin, StartWithin: s.StartWithin, CancelWork: s.CancelWork, MissingToken: tokenless(s)}
+		ClockAge: s.ClockAge, AnswerMargin: s.AnswerMargin, StartWithin: s.StartWithin, CancelWork: s.CancelWork, MissingToken: missingTokenPolicies(s)}
 }
 
-func tokenless(s *settings.Settings) []driver.MissingTokenPolicy {
+func missingTokenPolicies(s *settings.Settings) []driver.MissingTokenPolicy {
 	all := make([]driver.MissingTokenPolicy, len(s.Classes))
 	for i, c := range s.Classes {
 		all[i] = driver.MissingTokenPolicy(c.MissingToken)
@@ -174,7 +173,8 @@
 	s.metrics.registry.MustRegister(streamMetrics{s.streams})
 	s.grpc = grpc.NewServer(append(s.streams.options(),
 		grpc.MaxRecvMsgSize(maxRequestBytes), grpc.MaxHeaderListSize(maxMetadataBytes), grpc.MaxConcurrentStreams(uint32(s.settings.MaxStreams)),
-		experimental.BufferPool(mem.NewTieredBufferPool(1<<8, 1<<12, 1<<14, 1<<15, 1<<16, 1<<17, 1<<18, 1<<19, 1<<20)), // gRPC's default has no size between 32 KiB and 1 MiB
+		// gRPC's default buffer pool has no size between 32 KiB and 1 MiB.
+		experimental.BufferPool(mem.NewTieredBufferPool(1<<8, 1<<12, 1<<14, 1<<15, 1<<16, 1<<17, 1<<18, 1<<19, 1<<20)),
 		grpc.KeepaliveEnforcementPolicy(keepalive.EnforcementPolicy{MinTime: 5 * time.Second, PermitWithoutStream: true}),
 		grpc.KeepaliveParams(keepalive.ServerParameters{MaxConnectionIdle: 15 * time.Minute, Time: time.Minute,
 			Timeout: 10 * time.Second}),
@@ -217,8 +217,9 @@
 }
 
 // Run serves until ctx ends, then refuses new requests, answers pending ones within the settings' stop time, and
-// returns when all its goroutines have ended and its connections are closed. It returns an error if gRPC or the
-// control socket fails. It may be called once.
+// returns when all its goroutines have ended and its connections are closed. It returns an error if the server of gRPC
+// or of the control socket fails; a failure of the former also ends Run at once. A control socket or metrics endpoint
+// that can't be opened is only logged. Run may be called once.
 func (s *Server) Run(ctx context.Context) error {
 	runCtx, cancel := context.WithCancel(context.Background())
 	defer cancel()
--- a/server/server_test.go
+++ b/server/server_test.go
@@ -124,7 +124,7 @@
 		{"class", codes.InvalidArgument, "known: article-read", readReq("nonsense", "a", "")},
 		{"statement", codes.InvalidArgument, "is empty", &pb.ExecuteRequest{Slice: "slice0", Class: "write"}},
 		{"slice", codes.InvalidArgument, "is empty", &pb.ExecuteRequest{Class: "write", Statement: "x"}},
-		{"parameters", codes.InvalidArgument, "$1 holds a zero byte", writeReq("a\x00", "b")},
+		{"parameters", codes.InvalidArgument, "$1 contains a NUL byte", writeReq("a\x00", "b")},
 		{"idempotency_key", codes.InvalidArgument, "is keyed", &pb.ExecuteRequest{Slice: "slice0", Class: "post", Statement: "x"}},
 		{"", codes.NotFound, "slice is not in the list", &pb.ExecuteRequest{Slice: "olds", Class: "write", Statement: "x"}},
 	} {
@@ -151,7 +151,7 @@
 	}{
 		"select 1/0":                    {codes.InvalidArgument, "22012"},
 		"begin":                         {codes.InvalidArgument, "left a transaction open"},
-		"copy kv from stdin":            {codes.InvalidArgument, "COPY is not carried"},
+		"copy kv from stdin":            {codes.InvalidArgument, "COPY is not supported"},
 		"something no node understands": {codes.InvalidArgument, "42601"},
 	} {
 		_, err := execute(t, f, &pb.ExecuteRequest{Slice: "slice0", Class: "desk-check", Statement: sql})
@@ -327,7 +327,7 @@
 		talk func(nc net.Conn)
 	}{
 		{"garbage at once", "", func(nc net.Conn) { nc.Write([]byte("HTTP/1.1 400 Bad Request\r\n\r\n")) }},
-		{"garbage for facts", "in the answer to the facts", func(nc net.Conn) {
+		{"garbage for facts", "in the answer to the facts query", func(nc net.Conn) {
 			acceptLogin(nc).Next()
 			nc.Write(pgwire.AppendEmpty(nil, '?'))
 			io.Copy(io.Discard, nc)
@@ -339,7 +339,7 @@
 			nc.Write(pgwire.AppendDataRow(pgwire.AppendEmpty(nil, pgwire.MsgBindComplete), [][]byte{[]byte("t")}))
 			io.Copy(io.Discard, nc)
 		}},
-		{"an answer to nothing", "nothing was asked", func(nc net.Conn) {
+		{"an answer to nothing", "no query was pending", func(nc net.Conn) {
 			acceptLogin(nc)
 			nc.Write(pgwire.AppendCommandComplete(nil, "X"))
 			io.Copy(io.Discard, nc)
@@ -491,23 +491,23 @@
 	}
 	var flood sync.WaitGroup
 	var mu sync.Mutex
-	asked, refused, unadvised, odd := 0, 0, 0, 0
+	sent, refused, noDelay, otherReason := 0, 0, 0, 0
 	ctx, end := context.WithCancel(t.Context())
 	for range 150 {
 		flood.Go(func() {
 			for ctx.Err() == nil {
 				err := call("flood")
 				mu.Lock()
-				asked++
+				sent++
 				mu.Unlock()
 				if err == nil {
 					continue
 				}
-				advice, reason := time.Duration(0), ""
+				delay, reason := time.Duration(0), ""
 				for _, d := range status.Convert(err).Details() {
 					switch d := d.(type) {
 					case *errdetails.RetryInfo:
-						advice = d.RetryDelay.AsDuration()
+						delay = d.RetryDelay.AsDuration()
 					case *errdetails.ErrorInfo:
 						reason = d.Reason
 					}
@@ -515,24 +515,24 @@
 				mu.Lock()
 				if status.Code(err) == codes.ResourceExhausted {
 					refused++
-					if advice <= 0 {
-						unadvised++
+					if delay <= 0 {
+						noDelay++
 					}
 				}
 				if reason != "REFUSED" {
-					odd++
+					otherReason++
 				}
 				mu.Unlock()
 				time.Sleep(5 * time.Millisecond)
 			}
 		})
 	}
-	turned := func() int {
+	refusals := func() int {
 		mu.Lock()
 		defer mu.Unlock()
 		return refused
 	}
-	for end := time.Now().Add(time.Minute); turned() < 100 && time.Now().Before(end); {
+	for end := time.Now().Add(time.Minute); refusals() < 100 && time.Now().Before(end); {
 		time.Sleep(time.Millisecond)
 	}
 	served, calls := 0, 0
@@ -543,11 +543,11 @@
 	}
 	end()
 	flood.Wait()
-	if refused < 100 || unadvised > 0 || odd > 0 {
-		t.Errorf("%d refused at admission, %d of them without a retry delay, %d errors of other kinds", refused, unadvised, odd)
+	if refused < 100 || noDelay > 0 || otherReason > 0 {
+		t.Errorf("%d refused at admission, %d of them without a retry delay, %d errors of other kinds", refused, noDelay, otherReason)
 	}
-	if served < 20 || served*asked < (asked-refused)*calls {
-		t.Errorf("%d of %d calls of the other client were served, and %d of %d of the flooding client", served, calls, asked-refused, asked)
+	if served < 20 || served*sent < (sent-refused)*calls {
+		t.Errorf("%d of %d calls of the other client were served, and %d of %d of the flooding client", served, calls, sent-refused, sent)
 	}
 }
 
--- a/server/service.go
+++ b/server/service.go
@@ -42,12 +42,12 @@
 
 // Execute implements pb.DriverServer.
 func (s *service) Execute(ctx context.Context, req *pb.ExecuteRequest) (*pb.ExecuteResponse, error) {
-	ask, c, err := s.prepare(ctx, req)
+	params, c, err := s.prepare(ctx, req)
 	if err != nil {
 		return nil, err
 	}
 	began := time.Now()
-	a, err := s.admitAndAwait(ctx, req, ask, c, nil)
+	a, err := s.admitAndAwait(ctx, req, params, c, nil)
 	s.metrics.observeAnswer(req.Class, a, err, time.Since(began))
 	if err != nil {
 		return nil, err
@@ -60,7 +60,7 @@
 		return nil, detailed(codes.OutOfRange, "the result is larger than pool max-result; read it with ExecuteStream",
 			info(reasonSize, nil))
 	case rep.noMemory:
-		return nil, s.noMemory("answers in flight to clients use all of admission answer-bytes; retry later, or read it with ExecuteStream")
+		return nil, s.noMemory("answers in flight to clients use all of admission answer-bytes; retry later, or read the result with ExecuteStream")
 	}
 	return &pb.ExecuteResponse{Columns: columnsOf(rep.cols), Rows: rep.rows, CommandTag: rep.commandTag,
 		Token: s.keys.Load().Sign(a.Token, s.scope(req)), Holds: a.LowerBound.String(), Validator: validatorOf(req, &a), Served: servedOf(&a)}, nil
@@ -68,11 +68,11 @@
 
 // ExecuteStream implements pb.DriverServer.
 func (s *service) ExecuteStream(req *pb.ExecuteRequest, out pb.Driver_ExecuteStreamServer) error {
-	ask, c, err := s.prepare(out.Context(), req)
+	params, c, err := s.prepare(out.Context(), req)
 	if err != nil {
 		return err
 	}
-	if s.settings.Classes[ask.Class].Effect != balance.Safe {
+	if s.settings.Classes[params.Class].Effect != balance.Safe {
 		return badRequest("class", "%q is not safe to repeat; only reads are streamed", req.Class)
 	}
 	ctx, cancel := context.WithCancel(out.Context())
@@ -87,7 +87,7 @@
 			close(sender.chunks)
 		}
 	}()
-	a, err := s.admitAndAwait(ctx, req, ask, c, func(o *opening, row *pb.Row, onSent func()) error {
+	a, err := s.admitAndAwait(ctx, req, params, c, func(o *opening, row *pb.Row, onSent func()) error {
 		if o != nil {
 			return sender.send(&pb.ExecuteChunk{Part: &pb.ExecuteChunk_Columns_{Columns: &pb.ExecuteChunk_Columns{
 				Columns: columnsOf(o.stream.cols), Served: servedOf(&o.answer)}}}, nil)
@@ -112,30 +112,30 @@
 }
 
 // admitAndAwait admits a call at the gate and waits for its final answer. A returned error is the gRPC status.
-func (s *service) admitAndAwait(ctx context.Context, req *pb.ExecuteRequest, ask driver.RequestParams, c *call, forward forwardFunc) (driver.Answer, error) {
-	t, refusal := s.loop.frontEnd.admit(ctx, req, ask.Class)
+func (s *service) admitAndAwait(ctx context.Context, req *pb.ExecuteRequest, params driver.RequestParams, c *call, forward forwardFunc) (driver.Answer, error) {
+	t, refusal := s.loop.frontEnd.admit(ctx, req, params.Class)
 	if refusal != nil {
 		return *refusal, statusOf(refusal)
 	}
-	a, err := s.await(ctx, ask, c, forward)
+	a, err := s.await(ctx, params, c, forward)
 	s.loop.frontEnd.release(t, &a, err)
 	return a, err
 }
 
 // await passes a call to the loop and waits for its final answer. It forwards the rows of a streamed answer as they
 // arrive. A returned error is the gRPC status.
-func (s *service) await(ctx context.Context, ask driver.RequestParams, c *call, forward forwardFunc) (driver.Answer, error) {
+func (s *service) await(ctx context.Context, params driver.RequestParams, c *call, forward forwardFunc) (driver.Answer, error) {
 	id, ok := s.loop.calls.Add(c)
 	if !ok {
 		a := driver.Answer{Status: driver.Refused, Cause: driver.CauseStopping}
 		return a, statusOf(&a)
 	}
-	s.loop.inbox.Put(driver.Event{Kind: driver.EventRequest, Request: id, Params: ask})
+	s.loop.inbox.Put(driver.Event{Kind: driver.EventRequest, Request: id, Params: params})
 	var rows chan queuedRow
 	var full chan struct{}
 	// The loop answers within the deadline unless it is itself late. Then the answer is given here, and the loop
 	// sends nothing for a call that is no longer in its table.
-	lateTimer := time.NewTimer(ask.Deadline - s.settings.AnswerMargin/4 - s.loop.now())
+	lateTimer := time.NewTimer(params.Deadline - s.settings.AnswerMargin/4 - s.loop.now())
 	defer lateTimer.Stop()
 	abandon := func(err error) (driver.Answer, error) {
 		s.loop.calls.Remove(id)
@@ -161,7 +161,7 @@
 			if rows != nil {
 				continue // the streamed answer has begun
 			}
-			a := s.lateAnswer(ask.Class)
+			a := s.lateAnswer(params.Class)
 			abandon(nil)
 			return a, statusOf(&a)
 		case <-ctx.Done():
@@ -219,17 +219,17 @@
 	if class < 0 {
 		return driver.RequestParams{}, nil, badRequest("class", "%q is not configured; known: %s", req.Class, s.classNames())
 	}
-	ask := driver.RequestParams{Class: class, Slice: req.Slice, Session: req.Session}
+	params := driver.RequestParams{Class: class, Slice: req.Slice, Session: req.Session}
 	var err error
-	if ask.Token, ask.TokenLost, err = s.verifyToken(req.Token, s.scope(req)); err != nil {
-		return ask, nil, err
+	if params.Token, params.TokenLost, err = s.verifyToken(req.Token, s.scope(req)); err != nil {
+		return params, nil, err
 	}
 	c := &call{maxResultBytes: s.settings.MaxResult, final: make(chan driver.Answer, 1)}
 	if c.stmt, err = s.newStatement(req, &s.settings.Classes[class]); err != nil {
-		return ask, nil, err
+		return params, nil, err
 	}
-	ask.Deadline, err = s.deadline(ctx, req, &s.settings.Classes[class])
-	return ask, c, err
+	params.Deadline, err = s.deadline(ctx, req, &s.settings.Classes[class])
+	return params, c, err
 }
 
 func (s *service) classNames() string {
@@ -255,11 +255,11 @@
 	case req.Slice == "":
 		return statement{}, badRequest("slice", "is empty")
 	case strings.TrimSpace(req.Statement) == "" || !encodable(req.Statement):
-		return statement{}, badRequest("statement", "is empty or holds a zero byte")
+		return statement{}, badRequest("statement", "is empty or contains a NUL byte")
 	case class.Effect == balance.Keyed && req.IdempotencyKey == "":
 		return statement{}, badRequest("idempotency_key", "class %q is keyed and requires one", class.Name)
 	case !encodable(req.IdempotencyKey):
-		return statement{}, badRequest("idempotency_key", "holds a zero byte")
+		return statement{}, badRequest("idempotency_key", "contains a NUL byte")
 	case len(req.Parameters) > 65534:
 		return statement{}, badRequest("parameters", "there are %d, 65534 at most", len(req.Parameters))
 	}
@@ -267,7 +267,7 @@
 	for i, p := range req.Parameters {
 		oid, text, ok := parameter(p)
 		if !ok {
-			return st, badRequest("parameters", "$%d holds a zero byte; send it as bytes", i+1)
+			return st, badRequest("parameters", "$%d contains a NUL byte; send it as bytes", i+1)
 		}
 		st.types, st.values = append(st.types, oid), append(st.values, text)
 	}
--- a/server/sessions.go
+++ b/server/sessions.go
@@ -30,7 +30,7 @@
 	State *driver.SessionState `cbor:"2,keyasint"`
 }
 
-// saveSessions saves the session state of a driver that stopped in order.
+// saveSessions saves the session state of a driver after a graceful stop.
 func saveSessions(dir string, st *driver.SessionState, now time.Time) error {
 	if dir == "" {
 		return nil
@@ -44,9 +44,9 @@
 }
 
 // loadSessions reads the session state that a previous process saved, and removes the file, because it is out of date
-// as soon as this process answers a request. whole is false if writes may be missing: after a crash, or with an old
+// as soon as this process answers a request. complete is false if writes may be missing: after a crash, or with an old
 // or damaged file. Then the engine guards every session that it has no record of.
-func loadSessions(dir string, now time.Time) (st *driver.SessionState, whole bool, err error) {
+func loadSessions(dir string, now time.Time) (st *driver.SessionState, complete bool, err error) {
 	if dir == "" {
 		return nil, false, nil
 	}
--- a/server/streams.go
+++ b/server/streams.go
@@ -15,8 +15,8 @@
 	"umberladder/settings"
 )
 
-// streamBytes is about what gRPC spends on an open call or watch, its goroutine included (measured with 50,000 of
-// them).
+// streamBytes is the approximate memory that gRPC uses for each open call or watch, goroutine included, with 50,000 of
+// them open.
 const streamBytes = 12 << 10
 
 // streams bounds the number of open calls and watches, before gRPC allocates memory for them. Watches may last for
@@ -29,7 +29,7 @@
 	refused    atomic.Int64
 }
 
-// newStreams uses the limit of the settings, or as many streams as three eighths of the memory hold.
+// newStreams uses the limit of the settings or, if that is 0, as many streams as fit in three eighths of the memory limit.
 func newStreams(s *settings.Settings) *streams {
 	limit := int64(s.Streams)
 	if limit == 0 {
--- a/server/topology_test.go
+++ b/server/topology_test.go
@@ -113,16 +113,16 @@
 		tp, _ := topologyOf(t, socket, "GET", "/topology")
 		return len(tp.Slices) == 1 && tp.Slices[0].Primary != ""
 	})
-	const orders = 300
+	const commands = 300
 	shown := 0
-	for range orders {
+	for range commands {
 		tp, _ := topologyOf(t, socket, "POST", "/topology/forget/"+f.Groups[0].Name)
 		if len(tp.Slices[0].Nodes) != 0 {
 			shown++
 		}
 	}
 	if shown > 0 {
-		t.Errorf("%d of %d answers show reports of nodes that came after the command", shown, orders)
+		t.Errorf("%d of %d answers show reports of nodes that arrived after the command", shown, commands)
 	}
 }
 
