--- a/admission/admission.go
+++ b/admission/admission.go
@@ -22,24 +22,24 @@
 
 // Constants of the control loops.
 const (
-	minGrowth       = 0.02 // minimum growth of a limit per answer well within its target, in requests; otherwise 1/limit
-	lateFactor      = 0.95
-	refusedFactor   = 0.95
-	growBelow       = 0.75
-	reservedShare   = 0.4         // share of a limit that is reserved for the class of highest value
-	fairMultiple    = 1.5         // multiple of its equal share that a client may hold of a busy pool
-	floodShare      = 0.5         // share of a pool's limit from which one client's requests count as a flood
-	lentShare       = 0.25        // share of a pool's limit that may be lent beyond it, to clients with nothing in flight there
-	busyShare       = 0.5         // share of its limit from which a pool counts as busy
-	outageAfter     = time.Second // a pool that served nothing for this long keeps its limit: its nodes are down, not overloaded
-	rateSpan        = time.Second // time constant of the request rates
-	memoryShedStart = 0.7         // share of memory in live use where shedding begins; the rest is left for garbage
-	memoryShedAll   = 0.9         // share of memory in live use from which every request is refused
-	minRetryAfter   = 50 * time.Millisecond
-	initialBudget   = 20.0 // initial retry budget per class, so that retries pass before first attempts have earned any
-	maxBudget       = 200.0
-	maxPools        = 8192
-	maxClients      = 4096 // clients counted per pool within one rateSpan
+	minGrowth       = 0.02                  // minimum growth of a limit per answer, in requests; otherwise 1/limit
+	lateFactor      = 0.95                  // factor by which a late answer lowers a limit
+	refusedFactor   = 0.95                  // factor by which a refusal for lack of capacity lowers a limit
+	growBelow       = 0.75                  // share of its target up to which the response time of an answer lets a limit grow
+	reservedShare   = 0.4                   // share of a limit that is reserved for the class of highest value
+	fairMultiple    = 1.5                   // multiple of its equal share that a client may hold of a busy pool
+	floodShare      = 0.5                   // share of a pool's limit from which one client's requests count as a flood
+	lentShare       = 0.25                  // share of a pool's limit that may be lent beyond it; see mayBorrow
+	busyShare       = 0.5                   // share of its limit from which a pool counts as busy
+	outageAfter     = time.Second           // after so long without a served request nodes are down, not overloaded
+	rateSpan        = time.Second           // time constant of the request rates
+	memoryShedStart = 0.7                   // share of memory in live use where shedding begins; the rest is left for garbage
+	memoryShedAll   = 0.9                   // share of memory in live use from which every request is refused
+	minRetryAfter   = 50 * time.Millisecond // minimum retry time given to a refused client
+	initialBudget   = 20.0                  // initial retry budget per class, for retries before first attempts earn any
+	maxBudget       = 200.0                 // maximum retry budget per class
+	maxPools        = 8192                  // number of pools from which on further slices share one
+	maxClients      = 4096                  // clients counted per pool within one rateSpan
 )
 
 // Class describes a request class to the gate. Classes with a higher Value are admitted first and shed last; Target is
@@ -94,7 +94,7 @@
 	return nil
 }
 
-// Reason is the reason why a request was admitted or refused.
+// Reason says why a request was refused, or is Admitted.
 type Reason uint8
 
 // Reasons.
@@ -119,16 +119,16 @@
 // Decision is the decision on one arrival.
 type Decision struct {
 	Reason     Reason
-	RetryAfter time.Duration // if refused: time to wait before a retry, at least minRetryAfter
+	RetryAfter time.Duration // if refused: time to wait before a retry, at most Config.MaxRetryAfter
 	NoRetry    bool          // if refused: the client must not retry this request
 }
 
-// Request describes an arriving request. Class is an index into Config.Classes, Bytes the size of the request.
+// Request describes an arriving request.
 type Request struct {
-	Client  string
+	Client  string // identifies the caller
 	Slice   string
-	Class   int
-	Bytes   int
+	Class   int // index into Config.Classes
+	Bytes   int // size of the request
 	Attempt int // 0 for the first attempt
 }
 
@@ -325,8 +325,8 @@
 	return Admitted
 }
 
-// overShare reports whether a client exceeds its share of a pool that others use too, so that one client cannot starve
-// the others.
+// overShare reports whether a client already has its share of a pool in flight, if others use the pool too. It keeps
+// one client from starving the others.
 func (g *Gate) overShare(p *pool, client string) bool {
 	all := max(len(p.clients), len(p.recentClients[0]), len(p.recentClients[1]))
 	return all > 1 && float64(p.clients[client]) >= max(1, fairMultiple*p.limit/float64(all))
@@ -372,8 +372,8 @@
 	return g.ranks[class] < 1 && g.ranks[class]*float64(len(g.cfg.Classes)) < float64(level)
 }
 
-// SetMemoryUse sets the share of the process's memory limit that is in live use, from 0 to 1. Above memoryShedStart classes
-// are shed, the more the closer it is to memoryShedAll; from memoryShedAll on every request is refused.
+// SetMemoryUse sets the share of the process's memory limit that is in live use, from 0 to 1. Above memoryShedStart
+// classes are shed, the more the closer it is to memoryShedAll; from memoryShedAll on every request is refused.
 func (g *Gate) SetMemoryUse(used float64) {
 	classes := len(g.cfg.Classes)
 	over := (used - memoryShedStart) / (memoryShedAll - memoryShedStart)
@@ -445,9 +445,9 @@
 	p.lastCut, p.peak = now, p.inFlight
 }
 
-// ObserveLoopDelay records how long an event waited for the event loop. After each loop window one more class is shed if the
-// minimum delay within the window shows that the loop is late, else one less. As in CoDel, the minimum distinguishes
-// a standing queue from a burst.
+// ObserveLoopDelay records how long an event waited for the event loop. After each loop window one more class is shed if
+// the minimum delay within the window exceeds MaxLoopDelay, else one less. As in CoDel, the minimum distinguishes a
+// standing queue from a burst.
 func (g *Gate) ObserveLoopDelay(now, waited time.Duration) {
 	if g.windowStart == 0 {
 		g.windowStart, g.minDelay = now, waited
@@ -466,22 +466,22 @@
 
 // Stats is a snapshot of a gate.
 type Stats struct {
-	Open        int
-	Bytes       int
-	LoopLevel   int // number of classes shed because the loop is late
-	MemoryLevel int // likewise because memory is short; the number of classes plus one sheds everything
-	Counts      map[string]uint64
+	Open        int               // requests in flight
+	Bytes       int               // their total size
+	LoopLevel   int               // number of classes shed because the loop is late
+	MemoryLevel int               // likewise because memory is short; the number of classes plus one sheds everything
+	Counts      map[string]uint64 // arrivals so far, by the text of their Reason
 	Pools       []PoolStats
-	Refused     uint64
+	Refused     uint64 // refused arrivals so far
 }
 
 // PoolStats is a snapshot of one pool.
 type PoolStats struct {
 	Slice   string
 	Primary bool
-	Limit   float64
-	Open    int
-	Clients int
+	Limit   float64 // of requests in flight
+	Open    int     // requests in flight
+	Clients int     // clients with requests in flight
 }
 
 // Stats returns a snapshot, with the pools sorted by slice, replicas first.
--- a/admission/admission_test.go
+++ b/admission/admission_test.go
@@ -73,10 +73,10 @@
 }
 
 // load sends requests at a constant rate per second for a time.
-func (s *slots) load(rate float64, lasts time.Duration, ask func(n int) Request) {
+func (s *slots) load(rate float64, lasts time.Duration, request func(n int) Request) {
 	gap := time.Duration(float64(time.Second) / rate)
 	for end, n := s.now+lasts, 0; s.now < end; n++ {
-		s.arrive(ask(n))
+		s.arrive(request(n))
 		s.now += gap
 	}
 }
@@ -108,20 +108,20 @@
 // TestFairShares: a client that floods a pool must not starve the other clients.
 func TestFairShares(t *testing.T) {
 	s := &slots{g: gate(t, config()), now: time.Hour, work: 50 * ms, free: make([]time.Duration, 10)}
-	taken, asked := map[bool]int{}, map[bool]int{}
+	admitted, sent := map[bool]int{}, map[bool]int{}
 	for n := range 20000 {
 		a := Request{Client: "flood", Slice: "v"}
 		if n%20 == 0 {
 			a.Client = fmt.Sprint("reader ", n/20%10)
 		}
-		asked[a.Client == "flood"]++
+		sent[a.Client == "flood"]++
 		if s.arrive(a) == Admitted {
-			taken[a.Client == "flood"]++
+			admitted[a.Client == "flood"]++
 		}
 		s.now += 500 * time.Microsecond
 	}
-	if got := float64(taken[false]) / float64(asked[false]); got < 0.5 {
-		t.Errorf("%.2f of the readers' requests were admitted during a flood, of the flood's %d of %d", got, taken[true], asked[true])
+	if got := float64(admitted[false]) / float64(sent[false]); got < 0.5 {
+		t.Errorf("%.2f of the readers' requests were admitted during a flood, of the flood's %d of %d", got, admitted[true], sent[true])
 	}
 }
 
@@ -162,7 +162,7 @@
 // again.
 func TestMemory(t *testing.T) {
 	g := gate(t, config())
-	taken := func(used float64) (out []int) {
+	admitted := func(used float64) (out []int) {
 		g.SetMemoryUse(used)
 		for class := range g.cfg.Classes {
 			if k, v := g.Admit(time.Hour, Request{Client: "c", Slice: "s", Class: class}); k != nil {
@@ -178,7 +178,7 @@
 		used float64
 		want string
 	}{{0.69, "[0 1 2 3]"}, {0.72, "[0 1 2]"}, {0.79, "[0 2]"}, {0.89, "[2]"}, {0.91, "[]"}, {0.3, "[0 1 2 3]"}} {
-		if got := fmt.Sprint(taken(c.used)); got != c.want {
+		if got := fmt.Sprint(admitted(c.used)); got != c.want {
 			t.Errorf("with %.2f of memory in use classes %s are admitted, want %s", c.used, got, c.want)
 		}
 	}
@@ -188,20 +188,20 @@
 // first while the loop is late.
 func TestHigherValueFirst(t *testing.T) {
 	s := &slots{g: gate(t, config()), now: time.Hour, work: 50 * ms, free: make([]time.Duration, 10)}
-	taken, asked := [4]int{}, [4]int{}
+	admitted, sent := [4]int{}, [4]int{}
 	for n := range 40000 {
 		class := 3
 		if n%20 == 0 {
 			class = 0
 		}
-		asked[class]++
+		sent[class]++
 		if s.arrive(Request{Client: fmt.Sprint(class, n/20%20), Slice: "s", Class: class}) == Admitted {
-			taken[class]++
+			admitted[class]++
 		}
 		s.now += 500 * time.Microsecond
 	}
-	if got := float64(taken[0]) / float64(asked[0]); got < 0.9 {
-		t.Errorf("%.2f of the class of higher value was admitted: %v of %v", got, taken, asked)
+	if got := float64(admitted[0]) / float64(sent[0]); got < 0.9 {
+		t.Errorf("%.2f of the class of higher value was admitted: %v of %v", got, admitted, sent)
 	}
 	g := gate(t, config())
 	shed := func() (out []int) {
@@ -235,12 +235,12 @@
 // TestRetryBudget: further attempts are admitted only as far as first attempts have earned budget for them.
 func TestRetryBudget(t *testing.T) {
 	g := gate(t, config())
-	now, taken := time.Hour, 0
+	now, admitted := time.Hour, 0
 	for n := range 2000 {
 		for attempt := range 3 {
 			ticket, v := g.Admit(now, Request{Client: "c", Slice: "s", Attempt: attempt})
 			if attempt > 0 && v.Reason == Admitted {
-				taken++
+				admitted++
 			}
 			if v.Reason != Admitted && (v.Reason != RetryBudgetSpent || !v.NoRetry || v.RetryAfter <= 0) {
 				t.Fatalf("request %d: %+v", n, v)
@@ -251,8 +251,8 @@
 		}
 		now += ms
 	}
-	if most := initialBudget + 0.2*2000; float64(taken) > most+1 || float64(taken) < 0.9*most {
-		t.Errorf("%d further attempts of 4000 were admitted, %.0f were earned", taken, most)
+	if most := initialBudget + 0.2*2000; float64(admitted) > most+1 || float64(admitted) < 0.9*most {
+		t.Errorf("%d further attempts of 4000 were admitted, %.0f were earned", admitted, most)
 	}
 }
 
@@ -344,7 +344,7 @@
 	}
 	for b.Loop() {
 		if _, v := g.Admit(time.Hour, Request{Slice: "s", Client: "c"}); v.Reason == Admitted {
-			b.Fatal("taken")
+			b.Fatal("admitted")
 		}
 	}
 }
