--- a/membership/address.go
+++ b/membership/address.go
@@ -44,8 +44,8 @@
 	}
 }
 
-// linkDuplicates links the nodes at one address: each to the first node in force, or to the first node if none is, and
-// that one to the next.
+// linkDuplicates links the nodes at one address. Each links to the first one in force, or to the first one if none is in
+// force; that one links to the next node.
 func linkDuplicates(all []*member) {
 	first := all[0]
 	if i := slices.IndexFunc(all, func(k *member) bool { return k.active }); i >= 0 {
--- a/membership/membership.go
+++ b/membership/membership.go
@@ -8,7 +8,8 @@
 //     operator confirms the list or it has been unchanged for a configured time.
 //   - New members join after a random delay, drawn by each driver on its own, so that a node does not get connections
 //     from all drivers at once. The delays grow with the number of new members and of drivers.
-//   - Two names that resolve to one address are one node: a new name is held back, and a drain of either name drains both.
+//   - Two names that resolve to one address are one node: a new name is held back, and a drain of either name drains
+//     both.
 //   - A node that flaps between ready and draining is held back longer each time.
 package membership
 
@@ -24,7 +25,7 @@
 
 // Config sets how cautiously changes are applied.
 type Config struct {
-	MaxMissing     float64       // share of a slice's members, from 0 to 1, whose absence from a list is applied without confirmation
+	MaxMissing     float64       // largest share of a slice's members, 0 to 1, that is removed without confirmation
 	ConfirmAfter   time.Duration // age at which an unchanged list is taken as confirmed; 0 for never
 	Drivers        int           // number of drivers that follow the same list; 0 if unknown
 	DriversPerStep int           // number of drivers that may connect to a new node within Step, on average
@@ -32,7 +33,7 @@
 	NodesPerStep   int           // number of new nodes that one driver adds within Step, on average
 	FlapWindow     time.Duration // window over which returns of a node to ready are counted
 	FlapLimit      int           // number of returns within FlapWindow up to which a node is not held back
-	FlapHold       time.Duration // time for which the next return is held back; it doubles with each further one, up to 64 times FlapHold
+	FlapHold       time.Duration // hold of the next return; doubles with each further one, up to 64 times FlapHold
 }
 
 // Defaults returns a Config that suits most sites.
@@ -48,18 +49,18 @@
 	Instance int
 }
 
-// Held is a change made by a list that is not in force yet.
+// Held is a change by a list that is not in force yet.
 type Held struct {
 	Node   string
 	Slice  string
 	Why    string
-	Until  time.Duration // time at which it comes into force, on the caller's clock; 0 if it waits for a confirmation, a list or a resolver
+	Until  time.Duration // when the change comes into force; 0 if only a confirmation, a list or a resolver can bring that about
 	Lacked bool          // the node is missing from the list and stays in force; false if it is listed and not in force yet
 }
 
 // Change is the state after a call.
 type Change struct {
-	Members []Member // all members in force, sorted by slice and name; listed nodes of state gone are included
+	Members []Member // all members in force, sorted by slice and name; nodes listed with state "gone" are included
 	Changed bool     // Members differs from the previous call
 	Held    []Held
 	Shared  []Shared // nodes in force whose names resolve to one address, sorted by name
@@ -73,7 +74,7 @@
 	node           inventory.Node
 	instance       int
 	active         bool
-	due            time.Duration // time at which it comes into force
+	due            time.Duration // time at which the node comes into force
 	removalHeld    bool          // missing from the list, and its removal waits for a confirmation
 	removed        bool          // removed; kept for its instance and its flap history
 	duplicate      *member       // another node at the same address, or nil
@@ -82,7 +83,8 @@
 	holdCount      int
 }
 
-// Tracker is the membership of one driver. Times are on the caller's clock. It is not safe for concurrent use.
+// Tracker is the membership of one driver. Times are on the caller's clock. Before the first List its other methods
+// return a zero Change. It is not safe for concurrent use.
 type Tracker struct {
 	cfg       Config
 	rng       *rand.Rand
@@ -95,8 +97,8 @@
 	resolved  map[string][]string // resolved addresses, by node
 }
 
-// New returns the membership of a driver that knows no node yet. The seed determines the delays of new members; drivers must not share a seed,
-// or they all connect to a new node at once.
+// New returns the membership of a driver that knows no node yet. The seed determines the delays of new members; drivers
+// that share a seed would all connect to a new node at once.
 func New(cfg Config, seed uint64) *Tracker {
 	return &Tracker{cfg: cfg, rng: rand.New(rand.NewPCG(seed, 0x6d656d62)), members: map[string]*member{}}
 }
@@ -267,7 +269,7 @@
 		case k.duplicate != nil:
 			c.Held = append(c.Held, Held{Node: name, Slice: k.node.Slice, Why: "its name resolves to the address of " + k.duplicate.node.Name})
 		default:
-			why := "new, waiting for its scheduled start"
+			why := "new, waiting for its random delay"
 			if k.holdCount > 0 {
 				why = fmt.Sprintf("returned to ready %d times within %v", len(k.returns), m.cfg.FlapWindow)
 			}
