--- a/internal/conffile/conffile.go
+++ b/internal/conffile/conffile.go
@@ -1,6 +1,6 @@
-// Package conffile parses configuration files made of directives: one directive per line, with its arguments or with a block of
-// directives in braces. NewParser takes the text of a file; Tree returns its directives and Err every problem, each with file,
-// line and column. Packages settings, load, lab/experiment and explore read their files with it.
+// Package conffile parses configuration files made of directives: one directive per line, with its arguments or with a
+// block of directives in braces. NewParser takes the text of a file; Tree returns its directives and Err every problem,
+// each with file, line and column. Packages settings, load, lab/experiment and explore read their files with it.
 package conffile
 
 import (
@@ -14,8 +14,8 @@
 	"umberladder/internal/spelling"
 )
 
-// NewParser returns a parser of text. Problems carry the name file. Text that is not UTF-8 or contains a NUL byte has one
-// problem and no directives.
+// NewParser returns a parser of text. Problems name the file as file. Text that is not UTF-8 or contains a NUL byte has
+// one problem and no directives.
 func NewParser(file, text string) *Parser {
 	p := &Parser{file: file, lines: strings.Split(strings.TrimPrefix(text, "\ufeff"), "\n")}
 	if i := strings.IndexByte(text, 0); i >= 0 || !utf8.ValidString(text) {
@@ -48,7 +48,8 @@
 	p.AddProblem(w, "unknown directive %q; known here: %s", w.Text, strings.Join(known, ", "))
 }
 
-// SingleArg returns the only argument of d. It returns false and records a problem if d has a block, or not exactly one argument.
+// SingleArg returns the only argument of d. It returns false and records a problem if d has a block, or not exactly one
+// argument.
 func (p *Parser) SingleArg(d Directive) (Word, bool) {
 	switch {
 	case d.HasBlock:
--- a/internal/spelling/spelling.go
+++ b/internal/spelling/spelling.go
@@ -1,11 +1,13 @@
-// Package spelling suggests corrections of misspelled words. Nearest takes a word and the list of known words and returns the one
-// at the smallest edit distance. The parsers of settings and inventories call it for their "did you mean" messages.
+// Package spelling suggests corrections of misspelled words. Nearest takes a word and the list of known words and returns
+// the one at the smallest edit distance. The parsers of settings, inventories and other configuration files call it for
+// their "did you mean" messages.
 package spelling
 
 import "strings"
 
-// Nearest returns the word of known at the smallest Distance from text, ignoring case, or "" if none is within maxDistance edits.
-// Known words that are no longer than their distance are skipped. Of equally near words the first one is returned.
+// Nearest returns the word of known at the smallest Distance from text, ignoring case, or "" if none is within
+// maxDistance edits. A known word is skipped if its length does not exceed its distance. Of equally near words the first
+// one is returned.
 func Nearest(text string, known []string, maxDistance int) string {
 	best, least := "", maxDistance+1
 	for _, k := range known {
@@ -16,8 +18,8 @@
 	return best
 }
 
-// Distance returns the edit distance between a and b in bytes: the least number of insertions, deletions, substitutions and
-// swaps of adjacent bytes that turn one into the other.
+// Distance returns the edit distance between a and b in bytes: the least number of insertions, deletions, substitutions
+// and swaps of adjacent bytes that turn one into the other.
 func Distance(a, b string) int {
 	d := make([][]int, len(a)+1)
 	for i := range d {
--- a/settings/bind.go
+++ b/settings/bind.go
@@ -25,11 +25,11 @@
 type binder struct {
 	*conffile.Parser
 	s           *Settings
-	seen        map[string]word // name of each single-value directive set so far, by its full name such as "drain grace"
-	classes     []word
-	nodes       []word
-	zones       []word
-	inventoryAt word // name of the inventory directive
+	seen        map[string]word // single-value directives set so far, by full name such as "drain grace"
+	classes     []word          // name of each class, in the order of s.Classes
+	nodes       []word          // likewise of each node
+	zones       []word          // likewise of each zone
+	inventoryAt word            // the inventory directive
 }
 
 func topNames() []string {
@@ -129,7 +129,7 @@
 	}
 	for _, w := range d.Args {
 		if slices.Contains(b.s.Zones, w.Text) {
-			b.AddProblem(w, "duplicate hall %q", w.Text)
+			b.AddProblem(w, "hall %q is listed twice", w.Text)
 			continue
 		}
 		b.s.Zones, b.zones = append(b.s.Zones, w.Text), append(b.zones, w)
@@ -162,7 +162,7 @@
 	seen := map[string]bool{}
 	for _, line := range d.Block {
 		if seen[line.Name.Text] {
-			b.AddProblem(line.Name, "%s of class %q is set twice", line.Name.Text, c.Name)
+			b.AddProblem(line.Name, "%s of class %q is already set", line.Name.Text, c.Name)
 			continue
 		}
 		seen[line.Name.Text] = true
@@ -302,7 +302,7 @@
 		case !ok:
 			b.AddProblem(w, "%q is not an option; write KEY=VALUE", w.Text)
 		case seen[key]:
-			b.AddProblem(w, "%s is set twice", key)
+			b.AddProblem(w, "%s is already set", key)
 		case !slices.Contains(nodeOptions, key):
 			b.UnknownDirective(word{Text: key, Line: w.Line, Column: w.Column}, nodeOptions)
 		default:
--- a/settings/parse.go
+++ b/settings/parse.go
@@ -1,6 +1,6 @@
-// Package settings reads the settings file of a driver: directives, one per line, some of them with a block in braces. Read and
-// Parse return Settings, or every problem of the file at once, each with file, line and column. The command line calls them;
-// the server runs with the result and the laboratory builds its drivers from it.
+// Package settings reads the settings file of a driver: directives, one per line, some of them with a block in braces.
+// Read and Parse return Settings, or every problem of the file at once, each with file, line and column. The command
+// line calls them; the server runs with the result and the laboratory builds its drivers from it.
 //
 //	# a comment
 //	hall reykjavik-a hafnarfjordur-b
@@ -40,7 +40,7 @@
 	return Parse(path, string(text))
 }
 
-// Parse parses and checks the text of a settings file. Problems carry the name file. The error, if any, is Problems.
+// Parse parses and checks the text of a settings file. Problems name the file as file. The error, if any, is Problems.
 func Parse(file, text string) (*Settings, error) {
 	p := conffile.NewParser(file, text)
 	tree := p.Tree()
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -32,7 +32,7 @@
 	Deadline     time.Duration
 	Window       time.Duration      // time for which nodes discard repeats of a keyed request
 	Value        float64            // of an answer by Target, relative to other classes
-	LateValue    float64            // share of it, 0 to 1, for an answer after Target
+	LateValue    float64            // share of Value, 0 to 1, of an answer after Target
 	MissingToken MissingTokenPolicy // for session reads
 }
 
@@ -54,7 +54,7 @@
 	Nodes   []Node
 
 	Inventory  []string // files and directories with the list of nodes
-	StateDir   string   // directory for the last good inventory; "" for none
+	StateDir   string   // directory for the last good inventory, the topology and the sessions; "" for none
 	Control    string   // path of the control socket; "" for none
 	Members    membership.Config
 	MinMembers int // minimum number of nodes in each slice of the inventory
@@ -90,7 +90,7 @@
 	DialTimeout          time.Duration
 	RetryAfter           bool
 	MaxRetryAfter        time.Duration
-	StartWithin          time.Duration // a write that its node has not started by then is not run; 0 for no bound
+	StartWithin          time.Duration // a write that its node has not started within this time is not run; 0 for no bound
 	AnswerMargin         time.Duration // answers are sent this long before the client's deadline
 	ClockAge             time.Duration // a poll of a replica also polls the primary if the primary's log position is older
 
@@ -108,7 +108,7 @@
 	Linger       time.Duration // a connection busy with an answer that nobody awaits is closed after this time
 	PollTimeout  time.Duration
 	MaxMessage   int // bytes
-	MaxResult    int // bytes of a result that is held whole
+	MaxResult    int // bytes of a result that is not streamed
 	CancelWork   bool
 	Database     string
 	User         string
@@ -145,8 +145,8 @@
 	return min(bytes, s.Memory/8)
 }
 
-// Router returns the configuration of the routing module. Its AnswerSlack is AnswerMargin, for callers give the module
-// deadlines that are AnswerMargin before those of the client.
+// Router returns the configuration of package balance. Its AnswerSlack is AnswerMargin, because the deadlines that package
+// balance gets are AnswerMargin before those of the client.
 func (s *Settings) Router() balance.Config {
 	cfg := balance.Config{
 		Zone: max(0, indexOf(s.Zones, s.Zone)), Routers: s.Routers, MinBatchInterval: s.MinBatchInterval, Origin: s.Origin,
--- a/settings/show.go
+++ b/settings/show.go
@@ -32,7 +32,7 @@
 				note += " [default]"
 			}
 			if f.show(s) == `""` {
-				line = indent + "# " + f.name // a comment, for no text sets an empty value
+				line = indent + "# " + f.name // commented out, because an empty value means that the directive is not set
 			}
 			fmt.Fprintf(&b, "%-34s # %s\n", line, note)
 		}
