--- a/inventory/ansible.go
+++ b/inventory/ansible.go
@@ -10,9 +10,9 @@
 	"go.yaml.in/yaml/v3"
 )
 
-// ansible reads Ansible's YAML inventory: groups with hosts, children and vars. A host has the variables of its groups and its
-// own. Deeper groups override shallower ones, then those with higher priority, then the later by name; a host's own variables
-// override all.
+// ansible reads Ansible's YAML inventory: groups with hosts, children and vars. A host has the variables of its groups
+// and its own. A deeper group overrides a shallower one; of two at the same depth, the one with the higher priority
+// overrides the other, and then the later by name. A host's own variables override all.
 type ansible struct {
 	*yamlFile
 	groups map[string]*ansibleGroup
@@ -223,8 +223,8 @@
 	a.addNode(name, h, vars)
 }
 
-// override puts the variables of owner, a group or a host, over vars. Aliases are replaced by the name of their field; it is a
-// problem if an owner sets host or port under both names.
+// override sets the variables of owner, a group or a host, in vars. Aliases are replaced by the name of their field; it
+// is a problem if an owner sets host or port under both names.
 func (a *ansible) override(vars map[string]pair, over []pair, owner string) {
 	seen := map[string]bool{}
 	for _, v := range over {
--- a/inventory/corpus_test.go
+++ b/inventory/corpus_test.go
@@ -175,8 +175,8 @@
 	return b.String(), lines
 }
 
-// writeAnsible writes a set as Ansible's inventory, with the slice as a variable of the group. lines are the line numbers of its
-// nodes.
+// writeAnsible writes a set as Ansible's inventory, with the slice as a variable of the group. lines are the line numbers
+// of its nodes.
 func writeAnsible(rng *rand.Rand, s *Set) (text string, lines []int) {
 	var b strings.Builder
 	line := 1
@@ -249,7 +249,8 @@
 	return s
 }
 
-// TestWellFormed writes 300 random sets in three formats each, with random variations of style. Parse must return the same set.
+// TestWellFormed writes 300 random sets in three formats each, with random variations of style. Parse must return the
+// same set.
 func TestWellFormed(t *testing.T) {
 	for seed := range uint64(300) {
 		for _, f := range forms {
--- a/inventory/csv.go
+++ b/inventory/csv.go
@@ -9,8 +9,8 @@
 	"strings"
 )
 
-// readCSV reads one CSV file: RFC 4180 and the usual additions of spreadsheets and tools, which are a byte order mark, CRLF,
-// semicolons or tabs as separators, empty columns at the end and comment lines that begin with '#'.
+// readCSV reads one CSV file: RFC 4180 and the usual additions of spreadsheets and tools, which are a byte order mark,
+// CRLF, semicolons or tabs as separators, empty columns at the end and comment lines that begin with '#'.
 func (c *collector) readCSV(file string, text []byte) {
 	r := csv.NewReader(bytes.NewReader(text))
 	r.Comma, r.Comment, r.FieldsPerRecord = separator(text), '#', -1
@@ -45,8 +45,8 @@
 	}
 }
 
-// checkTruncated records a problem if the last line, which has no line ending, has fewer columns than the header: tools end their
-// last line, so the file was most likely truncated.
+// checkTruncated records a problem if the last line, which has no line ending, has fewer columns than the header: tools
+// end their last line, so the file was most likely truncated.
 func (c *collector) checkTruncated(file string, text []byte, columns []string) {
 	line := text[bytes.LastIndexByte(text, '\n')+1:]
 	if n := bytes.Count(line, []byte(string(separator(text)))); n+1 < len(columns) {
--- a/inventory/inventory.go
+++ b/inventory/inventory.go
@@ -1,6 +1,7 @@
-// Package inventory reads the list of database nodes from one or more files: CSV, a plain YAML list or Ansible's YAML inventory.
-// The result is one complete Set of nodes, or Problems with file, line and column of every mistake. The server follows the files
-// with a Watcher and keeps the last good set in a file; the command line checks, shows and converts inventories.
+// Package inventory reads the list of database nodes from one or more files: CSV, a plain YAML list or Ansible's YAML
+// inventory. The result is one complete Set of nodes, or Problems with file, line and column of every mistake. The server
+// follows the files with a Watcher and keeps the last good set in a file; the command line checks, shows and converts
+// inventories.
 package inventory
 
 import (
@@ -120,13 +121,12 @@
 	maxNodes      = 200000   // of one inventory, after expansion of host ranges
 	maxValueBytes = 1024     // of one label
 	maxNameBytes  = 253      // of a name, host or zone
-	maxSliceBytes = 64       // of the name of a slice, for tokens carry it
+	maxSliceBytes = 64       // of the name of a slice, as in the settings
 	maxDepth      = 64       // levels of nested groups or aliases
 	maxLabels     = 64       // of one node
 )
 
-// fields lists the fields of a node in the order in which they are written. readHeader relies on
-// labels being last.
+// fields lists the fields of a node in the order in which they are written. readHeader relies on labels being last.
 var fields = []string{"name", "host", "port", "slice", "hall", "state", "started", "labels"}
 
 // value is the text of a field and its position.
--- a/inventory/lastgood.go
+++ b/inventory/lastgood.go
@@ -37,8 +37,8 @@
 	Labels  map[string]string `cbor:"8,keyasint,omitempty"`
 }
 
-// Save replaces the file at path by l. The file is CBOR between a magic number and an xxHash. See ReplaceFile for crashes and
-// errors.
+// Save replaces the file at path with l. The file is CBOR between a magic number and an xxHash. See ReplaceFile for
+// crashes and errors.
 func (l *LastGood) Save(path string) error {
 	stored := storedSet{Taken: l.LoadedAt.UnixNano()}
 	for _, n := range l.Set.Nodes {
@@ -57,9 +57,9 @@
 	return ReplaceFile(path, text)
 }
 
-// ReplaceFile atomically replaces the file at path by text, or creates it: after a crash the file is the old or the new one. It
-// writes a temporary file in the same directory, syncs and renames it, and blocks until the directory is synced. The error
-// wraps that of the system.
+// ReplaceFile atomically replaces the contents of the file at path with text, or creates the file: after a crash the file
+// is the old or the new one. It writes a temporary file in the same directory, syncs and renames it, and blocks until
+// the directory is synced. The error wraps that of the system.
 func ReplaceFile(path string, text []byte) (err error) {
 	dir := filepath.Dir(path)
 	f, err := os.CreateTemp(dir, filepath.Base(path)+".new*")
@@ -92,8 +92,9 @@
 	return d.Sync()
 }
 
-// LoadLastGood reads a file written by Save. The error wraps that of the system, or says that the file is of another format or
-// version, is damaged or contains no nodes. The Origin of each node is that file, with the node's number as line.
+// LoadLastGood reads a file written by Save. The error wraps that of the system, or says that the file is of another
+// format or version, is damaged or contains no nodes. The Origin of each node is that file, with the node's number as
+// line.
 func LoadLastGood(path string) (*LastGood, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
--- a/inventory/lint.go
+++ b/inventory/lint.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Lint returns warnings about valid but unusual contents of s and the files it was read from, sorted by file and line. Start
-// times after now are among them.
+// Lint returns warnings about valid but unusual contents of s and the files it was read from, sorted by file and line.
+// Start times after now are among them.
 func Lint(files []File, s *Set, now time.Time) Problems {
 	c := &collector{}
 	for _, f := range files {
--- a/inventory/load.go
+++ b/inventory/load.go
@@ -33,8 +33,8 @@
 	return Parse(files, o)
 }
 
-// ReadFiles reads the files that List returns for paths, each of at most 64 MiB. The error is Problems, or wraps that of the
-// system.
+// ReadFiles reads the files that List returns for paths, each of at most 64 MiB. The error is Problems, or wraps that of
+// the system.
 func ReadFiles(paths []string) ([]File, error) {
 	names, err := List(paths)
 	if err != nil {
@@ -58,9 +58,9 @@
 	return files, nil
 }
 
-// List returns the paths of an inventory's files: files in paths as they are, directories replaced by their .csv, .tsv, .yaml,
-// .yml and .json files in the order of names. Hidden files and subdirectories are skipped. The error is Problems if a directory
-// has no such file, or wraps that of the system.
+// List returns the paths of an inventory's files: files in paths as they are, directories replaced by their .csv, .tsv,
+// .yaml, .yml and .json files in the order of names. Hidden files and subdirectories are skipped. The error is Problems
+// if a directory has no such file, or wraps that of the system.
 func List(paths []string) ([]string, error) {
 	var names []string
 	for _, path := range paths {
@@ -171,7 +171,8 @@
 	return 0
 }
 
-// checkMembers records a problem for each slice with fewer than least nodes, or with none. Nodes with state gone don't count.
+// checkMembers records a problem for each slice with fewer than least nodes, or with none. Nodes with state gone don't
+// count.
 func (c *collector) checkMembers(set *Set, least int) {
 	count, first := map[string]int{}, map[string]*Node{}
 	for i := range set.Nodes {
--- a/inventory/reader_test.go
+++ b/inventory/reader_test.go
@@ -247,8 +247,8 @@
 	f.Fuzz(func(t *testing.T, text string) { checkFuzzed(t, "i.yaml", text) })
 }
 
-// checkFuzzed parses text. The result must be a set of complete nodes that survives writing and parsing, or problems whose
-// lines lie within the text.
+// checkFuzzed parses text. The result must be a set of complete nodes that survives writing and parsing, or problems
+// whose lines lie within the text.
 func checkFuzzed(t *testing.T, name, text string) {
 	set, err := parseOne(name, text, Options{})
 	if err != nil {
@@ -301,8 +301,8 @@
 	}
 }
 
-// TestYAMLSyntaxNamesItsLine checks that syntax errors have the line of the mistake itself, whatever precedes and follows it. The
-// YAML parser alone names an earlier line, or none, for several of them.
+// TestYAMLSyntaxNamesItsLine checks that syntax errors have the line of the mistake itself, whatever precedes and follows
+// it. The YAML parser alone names an earlier line, or none, for several of them.
 func TestYAMLSyntaxNamesItsLine(t *testing.T) {
 	for _, c := range []struct {
 		name, text string
--- a/inventory/schema.go
+++ b/inventory/schema.go
@@ -32,7 +32,7 @@
 	return c.Compile(id)
 })
 
-// checkSchema validates a document with Schema. Lines that already have a problem, from index first on, get no further one.
+// checkSchema validates a document with Schema. Lines named by a problem from index first on get no further problem.
 func (y *yamlFile) checkSchema(root *yaml.Node, first int) {
 	s, err := compiled()
 	if err != nil {
--- a/inventory/watch.go
+++ b/inventory/watch.go
@@ -20,9 +20,9 @@
 	At     time.Time
 }
 
-// Watcher follows the files of an inventory, by notifications of the system and by polling in case these don't come. A change
-// is reported only when two reads, SettleTime apart, agree. Otherwise a file that is being written in pieces, was truncated
-// first or is removed for a moment would be reported half-written or missing.
+// Watcher follows the files of an inventory, by notifications of the system and, in case of missing notifications, by
+// polling. A change is reported only when two reads, SettleTime apart, agree. Otherwise a file that is being written in
+// pieces, was truncated first or is removed for a moment would be reported half-written or missing.
 type Watcher struct {
 	Paths        []string
 	Options      Options
@@ -30,8 +30,8 @@
 	PollInterval time.Duration // 2 s if not positive
 }
 
-// Read reads the files every SettleTime until two consecutive reads agree, and returns the result. If ctx ends first, Err is that
-// of ctx.
+// Read reads the files every SettleTime until two consecutive reads agree, and returns the result. If ctx ends first, Err
+// is that of ctx.
 func (w *Watcher) Read(ctx context.Context) Update {
 	var last snapshot
 	for first := true; ; first = false {
@@ -86,8 +86,9 @@
 	return u
 }
 
-// Run calls changed for every change of the files after the contents with digest since, mistakes included, once they are stable.
-// Files with mistakes are reported again only when they change. It blocks until ctx ends and returns nil.
+// Run calls changed after each change of the files, once they are stable, with the new set or the error. since is the
+// Digest of the contents that the caller already has. Files with mistakes are reported again only when they change. Run
+// blocks until ctx ends and returns nil.
 func (w *Watcher) Run(ctx context.Context, since uint64, changed func(Update)) error {
 	events, stop := w.subscribe()
 	defer stop()
@@ -158,8 +159,8 @@
 	return b.String()
 }
 
-// subscribe returns a channel that receives when a directory of the files changes, and a function that ends the subscription.
-// If the system supports no notifications the channel never receives, and Run relies on polling.
+// subscribe returns a channel that receives when a directory of the files changes, and a function that ends the
+// subscription. If the system supports no notifications the channel never receives, and Run relies on polling.
 func (w *Watcher) subscribe() (<-chan struct{}, func()) {
 	signal := make(chan struct{}, 1)
 	fs, err := fsnotify.NewWatcher()
--- a/inventory/watch_test.go
+++ b/inventory/watch_test.go
@@ -92,8 +92,8 @@
 	}
 }
 
-// TestChangesOnDisk checks that a file that is replaced, rewritten, written slowly or removed for a moment is reported with its
-// new contents, and never half-written.
+// TestChangesOnDisk checks that a file that is replaced, rewritten, written slowly or removed for a moment is reported
+// with its new contents, and never half-written.
 func TestChangesOnDisk(t *testing.T) {
 	for name, change := range map[string]func(t *testing.T, path string){
 		"replaced by rename": func(t *testing.T, path string) { replaceFile(t, path, csvList(7)) },
--- a/inventory/write.go
+++ b/inventory/write.go
@@ -40,8 +40,8 @@
 // Formats lists the formats that Write accepts.
 var Formats = []string{"table", "json", "yaml", "csv"}
 
-// Write writes the set to w in one of Formats. Parse accepts the yaml and csv output and returns an equal set. The error is that
-// of w, or names an unknown format.
+// Write writes the set to w in one of Formats. Parse accepts the yaml and csv output and returns an equal set. The error
+// is that of w, or names an unknown format.
 func (s *Set) Write(w io.Writer, format string) error {
 	switch format {
 	case "json":
--- a/inventory/yaml.go
+++ b/inventory/yaml.go
@@ -70,13 +70,13 @@
 	return what, line
 }
 
-// imprecise matches the parser errors that name a line before the mistake, or none. For "did not find expected" the line is
-// counted from 0 and may be that of the start of the list, for tabs it is that of the preceding word, and for unknown anchors
-// there is none.
+// imprecise matches the parser errors that name a line before the mistake, or none. For "did not find expected" the line
+// is counted from 0 and may be that of the start of the list, for tabs it is that of the preceding word, and for unknown
+// anchors there is none.
 var imprecise = regexp.MustCompile(`^did not find expected (node content|',' or '[}\]]'|'-' indicator|key|<document start>)|tab character|unknown anchor`)
 
-// reportSyntax records a parser error. If its line is imprecise, the mistake is on the last line of the shortest prefix of the
-// file that fails with the same error.
+// reportSyntax records a parser error. If its line is imprecise, the mistake is on the last line of the shortest prefix of
+// the file that fails with the same error.
 func (y *yamlFile) reportSyntax(text []byte, err error) {
 	what, from := splitError(err)
 	lines := bytes.SplitAfter(text, []byte("\n"))
@@ -136,8 +136,8 @@
 // pair is a key of a mapping and its value, with aliases resolved.
 type pair struct{ key, value *yaml.Node }
 
-// pairs returns the keys and values of a mapping, with merge keys expanded. Keys of the mapping itself precede and override
-// merged ones.
+// pairs returns the keys and values of a mapping, with merge keys expanded, or nil for other values. Keys of the mapping
+// itself precede and override merged ones.
 func (y *yamlFile) pairs(n *yaml.Node, depth int) []pair {
 	if n = y.follow(n, depth); n == nil || n.Kind != yaml.MappingNode {
 		return nil
@@ -289,7 +289,8 @@
 	ambiguousNumber = regexp.MustCompile(`^[-+]?(0[xXobB][0-9a-fA-F_]+|[0-9][0-9_]*\.?[0-9_]*[eE][-+]?[0-9]+|[0-9]*\.[0-9]+|[0-9]+\.[0-9]*|[0-9]+_[0-9_]+|\.(?i:inf|nan)|[0-9]+(:[0-5]?[0-9])+(\.[0-9]*)?)$`)
 )
 
-// scalar returns the text of a field. Unquoted words that some tools don't read as strings are problems; it returns false then.
+// scalar returns the text of a field. It records a problem and returns false for a value that is not a scalar, for an
+// unquoted word that some tools don't read as a string, and for a quoted port.
 func (y *yamlFile) scalar(field string, n *yaml.Node) (string, bool) {
 	if n.Kind != yaml.ScalarNode {
 		y.problem(y.at(n), "%s must be a single value", field)
