--- a/cmd/citest/citest_test.go
+++ b/cmd/citest/citest_test.go
@@ -65,7 +65,7 @@
 	for text, want := range map[string]string{
 		"test: p\n":                            "line 1: \"p\" is not of the form",
 		"command: c\nsaw: x\n":                 "line 2: key \"saw\" is not known",
-		"command: c\ncommand: d\n":             "line 2: command is given twice",
+		"command: c\ncommand: d\n":             "line 2: command is already set",
 		"command: c\nissue: 1\n":               "entry 1: it has no line \"seen:\"",
 		"command: c\nseen: s\nissue: 1\n\nx\n": "line 5: \"x\" is not of the form",
 	} {
--- a/cmd/citest/evaluate.go
+++ b/cmd/citest/evaluate.go
@@ -135,8 +135,8 @@
 	return p.takeOutput() + e.Output
 }
 
-// takeOutput removes and returns the kept output of the tests that failed or did not end. It is shown before the next line of
-// the package.
+// takeOutput removes and returns the kept output of the tests that failed or did not end. It is shown before the next
+// line of the package.
 func (p *packageRun) takeOutput() (text string) {
 	for _, test := range slices.Sorted(maps.Keys(p.output)) {
 		text += p.output[test]
@@ -194,8 +194,8 @@
 	return len(excused) > 0 && len(unexcused) == 0
 }
 
-// failedBySubtests reports whether a test wrote nothing itself and has a failed subtest. The outcome of such a test follows
-// from its subtests.
+// failedBySubtests reports whether a test wrote nothing itself and has a failed subtest. The outcome of such a test
+// follows from its subtests.
 func (p *packageRun) failedBySubtests(test string) bool {
 	if p.wroteOutput[test] {
 		return false
@@ -212,7 +212,8 @@
 	return slices.ContainsFunc(eval.known, func(k knownFailure) bool { return slices.Contains(k.Tests, name) })
 }
 
-// checkList prints the listed tests that passed and those that don't exist in the packages run. It reports whether all exist.
+// checkList prints the listed tests that passed and those that don't exist in the packages run. It reports whether all
+// exist.
 func (eval *evaluator) checkList(w io.Writer) (complete bool) {
 	complete = true
 	for _, k := range eval.known {
--- a/cmd/citest/list.go
+++ b/cmd/citest/list.go
@@ -84,7 +84,7 @@
 
 func setOnce(field *string, key, value string) error {
 	if *field != "" {
-		return fmt.Errorf("%s is given twice", key)
+		return fmt.Errorf("%s is already set", key)
 	}
 	*field = value
 	return nil
--- a/cmd/citest/main.go
+++ b/cmd/citest/main.go
@@ -1,6 +1,6 @@
 // Command citest takes arguments of "go test" and a list of known failures, and runs the tests. It prints their output and
-// exits with status 1 on any failure that the list does not name, and on a panic, a data race, a failed build or a list that
-// can't be read. CI calls it.
+// exits with status 1 on any failure that the list does not name, and on a panic, a data race, a failed build or a list
+// that can't be read. CI calls it.
 //
 //	citest [-list FILE] [arguments of go test]
 package main
@@ -26,8 +26,8 @@
 	}
 }
 
-// run runs go test in a directory and reports whether everything passed except for known failures. A missing list counts as
-// empty.
+// run runs go test in a directory and reports whether everything passed except for known failures. A missing list counts
+// as empty.
 func run(list, dir string, args []string, out io.Writer) (ok bool, err error) {
 	known, err := readList(list)
 	if err != nil {
--- a/cmd/mutants/main.go
+++ b/cmd/mutants/main.go
@@ -1,6 +1,6 @@
 // Command mutants is a mutation test: it takes the faults listed in explore/testdata/mutants.txt or
-// lab/soak/testdata/mutants.txt and builds the program with each of them through a build overlay. It prints for each fault
-// whether the model checker, or the soak of the driver's process, found it. Developers run it by hand.
+// lab/soak/testdata/mutants.txt and builds the program with each of them through a build overlay. It prints for each
+// fault whether the model checker, or the soak of the driver's process, found it. Developers run it by hand.
 //
 //	go run ./cmd/mutants [-soak SEEDS] [-only NAME] [-procs N]
 package main
@@ -30,8 +30,8 @@
 // mutant is a fault: the replacement of a text in one file.
 type mutant struct{ name, file, old, new string }
 
-// readMutants reads a list of mutants. Each one begins with "### NAME" and "file: PATH"; the old text follows between "<<<<"
-// and "====", the new one between "====" and ">>>>".
+// readMutants reads a list of mutants. Each one begins with "### NAME" and "file: PATH"; the old text follows between
+// "<<<<" and "====", the new one between "====" and ">>>>".
 func readMutants(path string) ([]mutant, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -75,8 +75,9 @@
 	return program, nil
 }
 
-// findByExplorer runs the model checker of a program and returns the run and the property that found a fault, or "" if none
-// was found.
+// findByExplorer runs the model checker of a program and returns the arguments of the run that found a fault with the
+// broken property, or "" if none was found. A run that fails otherwise or does not end within 2 minutes
+// also counts as finding the fault.
 func findByExplorer(ctx context.Context, program string) (string, error) {
 	for _, args := range [][]string{
 		{"explore", "run", "--depth", "4", "--endings", "2", "--procs", "1"},
--- a/cmd/umberladder/experiment.go
+++ b/cmd/umberladder/experiment.go
@@ -53,8 +53,8 @@
 	return cmd
 }
 
-// livePlayer plays experiments on sockets in real time.
-var livePlayer = experiment.Runner{Name: "live", Run: lab.Live}
+// liveRunner plays experiments on sockets in real time.
+var liveRunner = experiment.Runner{Name: "live", Run: lab.Live}
 
 func (o *runOptions) run(cmd *cobra.Command, x *experiment.Experiment) error {
 	plant, ok := world.PlantNamed(o.plant)
@@ -63,8 +63,8 @@
 	}
 	broken := 0
 	var outcomes [][]experiment.Outcome
-	for _, p := range []experiment.Runner{experiment.Simulated, livePlayer} {
-		if !o.both && o.live != (p.Name == livePlayer.Name) {
+	for _, p := range []experiment.Runner{experiment.Simulated, liveRunner} {
+		if !o.both && o.live != (p.Name == liveRunner.Name) {
 			continue
 		}
 		all, n, err := o.play(cmd, x, p, plant)
@@ -83,13 +83,13 @@
 	return nil
 }
 
-// play plays an experiment with one player, records it if o.record is set, and prints the results. It returns the outcomes and
-// the number of broken rules.
+// play plays an experiment with one runner, records it if o.record is set, and prints the results. It returns the
+// outcomes and the number of broken rules.
 func (o *runOptions) play(cmd *cobra.Command, x *experiment.Experiment, p experiment.Runner, plant world.Plant) ([]experiment.Outcome, int, error) {
 	options := experiment.Options{Seed: o.seed, Procs: o.procs, Runner: p, Plant: plant, Progress: func(arm string, repeat int) {
 		fmt.Fprintf(cmd.ErrOrStderr(), "%s, %s, repeat %d: done\n", p.Name, arm, repeat+1)
 	}}
-	if p.Name == livePlayer.Name {
+	if p.Name == liveRunner.Name {
 		options.Procs = 1 // concurrent live runs would compete for this machine
 	} else {
 		defer debug.SetGCPercent(debug.SetGCPercent(400)) // trades memory for fewer collections; most objects are short-lived
--- a/cmd/umberladder/inventory.go
+++ b/cmd/umberladder/inventory.go
@@ -43,8 +43,8 @@
 	return set, err
 }
 
-// inventoryOptionFlags adds the flag --config. The returned function reads the settings that it names, and gives the limits
-// by which an inventory is checked.
+// inventoryOptionFlags adds the flag --config. The returned function reads the settings file that the flag names, and
+// returns the requirements on an inventory.
 func inventoryOptionFlags(cmd *cobra.Command) func() (inventory.Options, error) {
 	config := cmd.Flags().String("config", "", "settings file whose halls and 'membership least' are checked too")
 	return func() (inventory.Options, error) {
@@ -179,7 +179,7 @@
 	return &st, json.Unmarshal(text, &st)
 }
 
-// requestControl sends a request to a driver's control socket and returns the body of the answer. It gives up after 10 s.
+// requestControl sends a request to a driver's control socket and returns the body of the answer, or an error after 10 s.
 func requestControl(ctx context.Context, socket, method, path string) ([]byte, error) {
 	client := &http.Client{Transport: &http.Transport{DialContext: func(ctx context.Context, _, _ string) (net.Conn, error) {
 		return (&net.Dialer{}).DialContext(ctx, "unix", socket)
@@ -200,6 +200,8 @@
 	return text, nil
 }
 
+// controlSocketFlags adds the flags --control and --config. The returned function returns the path of the control socket
+// that they name.
 func controlSocketFlags(cmd *cobra.Command) func() (string, error) {
 	socket := cmd.Flags().String("control", "", "path of the driver's control socket")
 	config := cmd.Flags().String("config", "", "settings file that names the control socket")
@@ -262,7 +264,7 @@
 
 func printStatus(cmd *cobra.Command, st *server.InventoryStatus) error {
 	w := cmd.OutOrStdout()
-	fmt.Fprintf(w, "%d nodes in force, from %s, taken %s\n", st.Members, strings.Join(st.Files, " "), st.LoadedAt.Format(time.RFC3339))
+	fmt.Fprintf(w, "%d nodes in force, from %s, read %s\n", st.Members, strings.Join(st.Files, " "), st.LoadedAt.Format(time.RFC3339))
 	if st.Error != "" {
 		fmt.Fprintf(w, "the files are invalid since %s:\n%s\n", st.ErrorSince.Format(time.RFC3339), st.Error)
 	}
--- a/cmd/umberladder/lab.go
+++ b/cmd/umberladder/lab.go
@@ -33,8 +33,8 @@
 	return cmd
 }
 
-// historyCommand returns "lab history", which checks the session guarantees by the values that clients read. --plant injects
-// a fault that the check must find.
+// historyCommand returns "lab history", which checks the session guarantees by the values that clients read. --plant
+// injects a fault that the check must find.
 func historyCommand() *cobra.Command {
 	plants := map[string]lab.Plant{"none": lab.NoPlant, "lower-tokens": lab.LowerTokens, "no-tokens": lab.NoTokens}
 	var plant string
--- a/cmd/umberladder/load.go
+++ b/cmd/umberladder/load.go
@@ -20,7 +20,7 @@
 	var quiet bool
 	cmd := &cobra.Command{
 		Use:   "load PLAN",
-		Short: "Send requests to drivers in an open loop by default; exit 1 if a goal is missed",
+		Short: "Send requests to drivers, in an open loop by default; exit 1 if a goal is missed",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			p, err := load.Read(args[0])
--- a/cmd/umberladder/main.go
+++ b/cmd/umberladder/main.go
@@ -1,6 +1,6 @@
-// Command umberladder is a database proxy and its tools: it takes a subcommand, flags and settings files. It serves requests
-// over gRPC from the primary or a replica of a slice of PostgreSQL nodes, or prints the result of a tool. Operators, the shared
-// platform and CI run it; see README.md.
+// Command umberladder is a database proxy and its tools: it takes a subcommand, flags and settings files. It serves
+// requests over gRPC from the primary or a replica of a slice of PostgreSQL nodes, or prints the result of a tool.
+// Operators, the shared platform and CI run it; see README.md.
 package main
 
 import (
--- a/cmd/umberladder/platform.go
+++ b/cmd/umberladder/platform.go
@@ -24,7 +24,8 @@
 			log := zap.New(newLogCore(zapcore.NewConsoleEncoder, zapcore.InfoLevel))
 			defer log.Sync()
 			reloads := make(chan *platform.Config)
-			reloadCtx, cancelReloads := context.WithCancel(context.WithoutCancel(cmd.Context())) // outlives SIGTERM: SIGHUP is also handled during the shutdown, which takes a while
+			// reloadCtx outlives SIGTERM, because SIGHUP is also handled during the shutdown, which takes a while.
+			reloadCtx, cancelReloads := context.WithCancel(context.WithoutCancel(cmd.Context()))
 			defer cancelReloads()
 			onSIGHUP(reloadCtx, func() { reloadConfig(reloadCtx, path, reloads, log) })
 			if path == "" {
--- a/cmd/umberladder/platform_test.go
+++ b/cmd/umberladder/platform_test.go
@@ -19,8 +19,8 @@
  "settings":{"round":5,"classes":[{"name":"a","deadline":1000,"target":400,"effect":"read_like","worth":1}],
  "family-info":{"needs-by-class":["loose"],"oldest-data":[0]}}}`
 
-// TestSIGHUPAfterShutdownIsIgnored sends this process SIGHUP after the context of onSIGHUP ended, as may happen to a driver
-// that is shutting down. Without a handler the signal would end the process, and this test with it.
+// TestSIGHUPAfterShutdownIsIgnored sends this process SIGHUP after the context of onSIGHUP ended, as may happen to a
+// driver that is shutting down. Without a handler the signal would end the process, and this test with it.
 func TestSIGHUPAfterShutdownIsIgnored(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	notified := make(chan bool, 1)
--- a/cmd/umberladder/recording.go
+++ b/cmd/umberladder/recording.go
@@ -47,7 +47,7 @@
 			}
 			fmt.Fprintf(w, "%s, %s, seed %d\n", r.Manifest.Name, how, r.Manifest.Seed)
 			if r.Incomplete || r.Manifest.Ended.IsZero() {
-				fmt.Fprintln(w, "the run was killed or is under way: its last seconds are missing")
+				fmt.Fprintln(w, "the run was killed or is still running: its last seconds are missing")
 			}
 			record.WriteSummaries(w, q, lines)
 			return nil
--- a/cmd/umberladder/serve.go
+++ b/cmd/umberladder/serve.go
@@ -36,7 +36,8 @@
 			var seed [8]byte
 			rand.Read(seed[:])
 			if s.Memory > 0 {
-				debug.SetMemoryLimit(int64(s.Memory) / 8 * 7) // the other eighth covers the program itself and overshoot of the limit
+				// The other eighth covers the program itself and overshoot of the limit.
+				debug.SetMemoryLimit(int64(s.Memory) / 8 * 7)
 			}
 			srv, err := server.New(s, log, binary.BigEndian.Uint64(seed[:]))
 			if err != nil {
@@ -48,8 +49,8 @@
 	}
 }
 
-// onSIGHUP calls f at each SIGHUP, one call at a time, until ctx ends. Later SIGHUPs are ignored and don't end the process,
-// which may still be serving accepted requests.
+// onSIGHUP calls f at each SIGHUP, one call at a time, until ctx ends. Later SIGHUPs are ignored and don't end the
+// process, which may still be serving accepted requests.
 func onSIGHUP(ctx context.Context, f func()) {
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGHUP)
--- a/cmd/umberladder/topology.go
+++ b/cmd/umberladder/topology.go
@@ -17,7 +17,7 @@
 	"umberladder/server"
 )
 
-// topologyCommand returns "topology", which shows what a driver knows of primaries and fences nodes.
+// topologyCommand returns "topology", which shows a driver's primaries and the evidence for them, and fences nodes.
 func topologyCommand() *cobra.Command {
 	cmd := &cobra.Command{Use: "topology", Short: "Show a driver's primaries and the evidence for them; fence nodes"}
 	cmd.AddCommand(topologyShowCommand("show", "Print each slice's term, its primary and the last report of each node", printTopology))
@@ -98,7 +98,7 @@
 		fmt.Fprintf(out, "  claimed by %s; writes stop unless most of the slice follows one: make the others replicas, or fence them\n", strings.Join(s.Rivals, " and "))
 	}
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
-	fmt.Fprintln(w, "  node\tis\tsaid\tat\tfollows\theard")
+	fmt.Fprintln(w, "  node\tstatus\trole\tposition\tfollows\treported")
 	for _, n := range s.Nodes {
 		standing := n.Standing
 		if n.Fenced && standing != "fenced" {
