--- a/internal/conffile/conffile.go
+++ b/internal/conffile/conffile.go
@@ -14,8 +14,8 @@
 	"umberladder/internal/spelling"
 )
 
-// NewParser returns a parser of text. Problems name the file as file. Text that is not UTF-8 or contains a NUL byte has
-// one problem and no directives.
+// NewParser returns a parser of text. file is the file's name in Problems. Text that is not UTF-8 or contains a NUL byte
+// has one problem and no directives.
 func NewParser(file, text string) *Parser {
 	p := &Parser{file: file, lines: strings.Split(strings.TrimPrefix(text, "\ufeff"), "\n")}
 	if i := strings.IndexByte(text, 0); i >= 0 || !utf8.ValidString(text) {
--- a/inventory/schema.go
+++ b/inventory/schema.go
@@ -32,7 +32,8 @@
 	return c.Compile(id)
 })
 
-// checkSchema validates a document with Schema. Lines named by a problem from index first on get no further problem.
+// checkSchema validates a document with Schema. Lines that already have a problem get no further one; first is the index
+// of the document's first problem.
 func (y *yamlFile) checkSchema(root *yaml.Node, first int) {
 	s, err := compiled()
 	if err != nil {
--- a/membership/membership.go
+++ b/membership/membership.go
@@ -54,7 +54,7 @@
 	Node   string
 	Slice  string
 	Why    string
-	Until  time.Duration // when the change comes into force; 0 if only a confirmation, a list or a resolver can bring that about
+	Until  time.Duration // when the change comes into force; 0 if that takes a confirmation, a list or a resolver
 	Lacked bool          // the node is missing from the list and stays in force; false if it is listed and not in force yet
 }
 
