--- a/server/admit.go
+++ b/server/admit.go
@@ -123,8 +123,8 @@
 // maxClientName is the maximum length of a client's name, in bytes. Longer names are ignored.
 const maxClientName = 64
 
-// attemptOf returns the number of a client's attempt, 0 for the first: the highest of those that gRPC's own retries and
-// the attempt header of package propagation give.
+// attemptOf returns the number of a client's attempt, 0 for the first: the highest count in the headers of gRPC's own
+// retries and of package propagation.
 func attemptOf(ctx context.Context) int {
 	md, _ := metadata.FromIncomingContext(ctx)
 	highest := 0
--- a/server/facts.go
+++ b/server/facts.go
@@ -67,7 +67,7 @@
 	paramStandby  = "in_hot_standby"
 	paramPosition = "umberladder.position" // a primary's written or a replica's replayed position, as TIMELINE:LSN
 	paramXID      = "umberladder.xid"      // the snapshot of factsSQL, or a transaction ID; see parseSnapshot
-	paramReceived = "umberladder.received" // on a replica: end of the record being replayed or, if unknown, of the received log
+	paramReceived = "umberladder.received" // a replica's end of the record being replayed or, if unknown, of its received log
 )
 
 // Columns of the row that factsSQL returns; pollSQL adds the last four.
--- a/server/follow.go
+++ b/server/follow.go
@@ -67,7 +67,7 @@
 	Why                  string
 }
 
-// Unlisted is a standby that its primary, Follows, reported and that is missing from the inventory.
+// Unlisted is a standby that a listed primary, Follows, reported and that is missing from the inventory.
 type Unlisted struct{ Address, Name, Follows, Slice string }
 
 // newInventoryFollower reads the inventory that the settings name, or returns nil and the settings' nodes if they
--- a/server/server.go
+++ b/server/server.go
@@ -120,7 +120,7 @@
 }
 
 func engineConfig(s *settings.Settings) driver.Config {
-	return driver.Config{Router: s.Router(), Zones: s.Zones, DriverSessions: s.RouterTokens, SessionBytes: s.SessionBytes, MaxOpen: s.MaxOpen,
+	return driver.Config{Router: s.Router(), Zones: s.Zones, DriverSessions: s.DriverSessions, SessionBytes: s.SessionBytes, MaxOpen: s.MaxOpen,
 		PoolSize: s.PoolSize, IdleClose: s.IdleClose, Linger: s.Linger, PollTimeout: s.PollTimeout,
 		ClockAge: s.ClockAge, AnswerMargin: s.AnswerMargin, StartWithin: s.StartWithin, CancelWork: s.CancelWork, MissingToken: missingTokenPolicies(s)}
 }
@@ -217,9 +217,9 @@
 }
 
 // Run serves until ctx ends, then refuses new requests, answers pending ones within the settings' stop time, and
-// returns when all its goroutines have ended and its connections are closed. It returns an error if the server of gRPC
-// or of the control socket fails; a failure of the former also ends Run at once. A control socket or metrics endpoint
-// that can't be opened is only logged. Run may be called once.
+// returns when all its goroutines have ended and its connections are closed. It returns an error if the gRPC server or
+// the server on the control socket fails; a failure of the gRPC server also ends Run at once. A control socket or metrics
+// endpoint that can't be opened is only logged. Run may be called once.
 func (s *Server) Run(ctx context.Context) error {
 	runCtx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -259,7 +259,7 @@
 	err = tasks.Wait()
 	conns.Wait()
 	s.saveTopology(s.loop.engine.Topology())
-	if ctx.Err() != nil && s.killed.Err() == nil && s.settings.RouterTokens {
+	if ctx.Err() != nil && s.killed.Err() == nil && s.settings.DriverSessions {
 		if e := saveSessions(s.settings.StateDir, s.loop.engine.Sessions(), time.Now()); e != nil {
 			s.log.Error(e.Error())
 		}
--- a/server/server_test.go
+++ b/server/server_test.go
@@ -113,10 +113,10 @@
 	f := newFleet(t, lab.Spec{})
 	other := token.Token{}.With("olds", position.Position{Timeline: 1, LSN: 5}).String()
 	for _, c := range []struct {
-		field string
-		code  codes.Code
-		say   string
-		req   *pb.ExecuteRequest
+		field   string
+		code    codes.Code
+		message string
+		req     *pb.ExecuteRequest
 	}{
 		{"token", codes.InvalidArgument, "not base64url", readReq("own-read", "a", "!!")},
 		{"token", codes.InvalidArgument, "checksum", readReq("own-read", "a", other[:len(other)-3]+"AAA")},
@@ -130,12 +130,12 @@
 	} {
 		_, err := execute(t, f, c.req)
 		st := status.Convert(err)
-		if st.Code() != c.code || !strings.Contains(st.Message(), c.say) {
-			t.Errorf("%s: %v", c.say, err)
+		if st.Code() != c.code || !strings.Contains(st.Message(), c.message) {
+			t.Errorf("%s: %v", c.message, err)
 		}
 		for _, d := range st.Details() {
 			if b, ok := d.(*errdetails.BadRequest); ok && b.FieldViolations[0].Field != c.field {
-				t.Errorf("%s: field %q, want %q", c.say, b.FieldViolations[0].Field, c.field)
+				t.Errorf("%s: field %q, want %q", c.message, b.FieldViolations[0].Field, c.field)
 			}
 		}
 	}
@@ -146,8 +146,8 @@
 	f := newFleet(t, lab.Spec{})
 	must(t, f, readReq("desk-check", "a", ""))
 	for sql, want := range map[string]struct {
-		code codes.Code
-		say  string
+		code    codes.Code
+		message string
 	}{
 		"select 1/0":                    {codes.InvalidArgument, "22012"},
 		"begin":                         {codes.InvalidArgument, "left a transaction open"},
@@ -155,7 +155,7 @@
 		"something no node understands": {codes.InvalidArgument, "42601"},
 	} {
 		_, err := execute(t, f, &pb.ExecuteRequest{Slice: "slice0", Class: "desk-check", Statement: sql})
-		if st := status.Convert(err); st.Code() != want.code || !strings.Contains(st.Message(), want.say) {
+		if st := status.Convert(err); st.Code() != want.code || !strings.Contains(st.Message(), want.message) {
 			t.Errorf("%s: %v", sql, err)
 		}
 	}
@@ -555,7 +555,7 @@
 // node connection is free again. Slow clients that do read are not affected.
 func TestClientThatDoesNotRead(t *testing.T) {
 	f := newFleet(t, lab.Spec{Extra: "admission {\n    stall 300ms\n}\n"})
-	out := func() (n int) {
+	readsInFlight := func() (n int) {
 		for _, s := range f.Trace.Statements() {
 			if s.Kind == standin.KindRead && s.Ran && s.Ended.IsZero() {
 				n++
@@ -565,7 +565,7 @@
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
-	var idle []pb.Driver_ExecuteStreamClient
+	var streams []pb.Driver_ExecuteStreamClient
 	for range 5 {
 		until(t, "a stream begins", func() bool { // a refusal is allowed: nothing ran
 			s, err := f.Drivers[0].Client().ExecuteStream(ctx, seriesReq(400000))
@@ -573,18 +573,18 @@
 				t.Fatal(err)
 			}
 			if _, err = s.Recv(); err == nil {
-				idle = append(idle, s)
+				streams = append(streams, s)
 			} else if c := status.Code(err); c != codes.Unavailable && c != codes.ResourceExhausted {
 				t.Fatal(err)
 			}
 			return err == nil
 		})
 	}
-	if out() == 0 {
+	if readsInFlight() == 0 {
 		t.Error("no read is in flight at the nodes")
 	}
-	until(t, "the nodes are free of clients that do not read", func() bool { return out() == 0 })
-	for _, s := range idle {
+	until(t, "the nodes are free of clients that do not read", func() bool { return readsInFlight() == 0 })
+	for _, s := range streams {
 		var err error
 		for err == nil {
 			_, err = s.Recv()
--- a/server/visible_test.go
+++ b/server/visible_test.go
@@ -11,7 +11,7 @@
 
 // bothWays runs a test with nodes that are queried for their facts and with nodes that report them as parameters.
 func bothWays(t *testing.T, run func(t *testing.T, node standin.Config)) {
-	for name, byParams := range map[string]bool{"queried": false, "by parameters": true} {
+	for name, byParams := range map[string]bool{"asked": false, "by parameters": true} {
 		t.Run(name, func(t *testing.T) {
 			node := lab.SmallNode
 			node.ReportParameters = byParams
--- a/settings/fields.go
+++ b/settings/fields.go
@@ -84,7 +84,7 @@
 		choice("behind", "treatment of a read for which a replica lags too far behind", []string{"serve", "reject", "wait"}, func(s *Settings) *balance.LagPolicy { return &s.LagPolicy }),
 		duration("catch-up", "longest wait for a replica to catch up, with 'behind wait'", 0, time.Minute, func(s *Settings) *time.Duration { return &s.CatchUpWait }),
 		flag("positions", "answers carry log positions", func(s *Settings) *bool { return &s.Positions }),
-		flag("driver-sessions", "sessions are also tracked by this driver's own answers", func(s *Settings) *bool { return &s.RouterTokens }),
+		flag("driver-sessions", "sessions are also tracked by this driver's own answers", func(s *Settings) *bool { return &s.DriverSessions }),
 		duration("origin", "time on the driver's clock from which positions are counted", 0, 1000*time.Hour, func(s *Settings) *time.Duration { return &s.Origin }),
 	}},
 	{"list", []field{
--- a/settings/parse.go
+++ b/settings/parse.go
@@ -40,7 +40,8 @@
 	return Parse(path, string(text))
 }
 
-// Parse parses and checks the text of a settings file. Problems name the file as file. The error, if any, is Problems.
+// Parse parses and checks the text of a settings file. The argument file is the file's name in
+// Problems. The error, if any, is Problems.
 func Parse(file, text string) (*Settings, error) {
 	p := conffile.NewParser(file, text)
 	tree := p.Tree()
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -145,8 +145,8 @@
 	return s
 }
 
-// TestEveryFieldCanBeSet sets each directive and checks that each field of Settings and of balance.Config
-// changes. It guards against a field without a directive.
+// TestEveryFieldCanBeSet sets each directive and checks that each field of Settings and of balance.Config changes. It
+// guards against a field without a directive.
 func TestEveryFieldCanBeSet(t *testing.T) {
 	s := parse(t, full)
 	defaults := Defaults()
