--- a/cmd/umberladder/topology.go
+++ b/cmd/umberladder/topology.go
@@ -17,7 +17,7 @@
 	"umberladder/server"
 )
 
-// topologyCommand returns "topology", which shows what a driver knows of primaries and fences nodes.
+// topologyCommand returns "topology", which shows a driver's primaries and the evidence for them, and fences nodes.
 func topologyCommand() *cobra.Command {
 	cmd := &cobra.Command{Use: "topology", Short: "Show a driver's primaries and the evidence for them; fence nodes"}
 	cmd.AddCommand(topologyShowCommand("show", "Print each slice's term, its primary and the last report of each node", printTopology))
--- a/server/server_test.go
+++ b/server/server_test.go
@@ -113,10 +113,10 @@
 	f := newFleet(t, lab.Spec{})
 	other := token.Token{}.With("olds", position.Position{Timeline: 1, LSN: 5}).String()
 	for _, c := range []struct {
-		field string
-		code  codes.Code
-		say   string
-		req   *pb.ExecuteRequest
+		field   string
+		code    codes.Code
+		message string
+		req     *pb.ExecuteRequest
 	}{
 		{"token", codes.InvalidArgument, "not base64url", readReq("own-read", "a", "!!")},
 		{"token", codes.InvalidArgument, "checksum", readReq("own-read", "a", other[:len(other)-3]+"AAA")},
@@ -124,18 +124,18 @@
 		{"class", codes.InvalidArgument, "known: article-read", readReq("nonsense", "a", "")},
 		{"statement", codes.InvalidArgument, "is empty", &pb.ExecuteRequest{Slice: "slice0", Class: "write"}},
 		{"slice", codes.InvalidArgument, "is empty", &pb.ExecuteRequest{Class: "write", Statement: "x"}},
-		{"parameters", codes.InvalidArgument, "$1 holds a zero byte", writeReq("a\x00", "b")},
+		{"parameters", codes.InvalidArgument, "$1 contains a NUL byte", writeReq("a\x00", "b")},
 		{"idempotency_key", codes.InvalidArgument, "is keyed", &pb.ExecuteRequest{Slice: "slice0", Class: "post", Statement: "x"}},
 		{"", codes.NotFound, "slice is not in the list", &pb.ExecuteRequest{Slice: "olds", Class: "write", Statement: "x"}},
 	} {
 		_, err := execute(t, f, c.req)
 		st := status.Convert(err)
-		if st.Code() != c.code || !strings.Contains(st.Message(), c.say) {
-			t.Errorf("%s: %v", c.say, err)
+		if st.Code() != c.code || !strings.Contains(st.Message(), c.message) {
+			t.Errorf("%s: %v", c.message, err)
 		}
 		for _, d := range st.Details() {
 			if b, ok := d.(*errdetails.BadRequest); ok && b.FieldViolations[0].Field != c.field {
-				t.Errorf("%s: field %q, want %q", c.say, b.FieldViolations[0].Field, c.field)
+				t.Errorf("%s: field %q, want %q", c.message, b.FieldViolations[0].Field, c.field)
 			}
 		}
 	}
@@ -146,16 +146,16 @@
 	f := newFleet(t, lab.Spec{})
 	must(t, f, readReq("desk-check", "a", ""))
 	for sql, want := range map[string]struct {
-		code codes.Code
-		say  string
+		code    codes.Code
+		message string
 	}{
 		"select 1/0":                    {codes.InvalidArgument, "22012"},
 		"begin":                         {codes.InvalidArgument, "left a transaction open"},
-		"copy kv from stdin":            {codes.InvalidArgument, "COPY is not carried"},
+		"copy kv from stdin":            {codes.InvalidArgument, "COPY is not supported"},
 		"something no node understands": {codes.InvalidArgument, "42601"},
 	} {
 		_, err := execute(t, f, &pb.ExecuteRequest{Slice: "slice0", Class: "desk-check", Statement: sql})
-		if st := status.Convert(err); st.Code() != want.code || !strings.Contains(st.Message(), want.say) {
+		if st := status.Convert(err); st.Code() != want.code || !strings.Contains(st.Message(), want.message) {
 			t.Errorf("%s: %v", sql, err)
 		}
 	}
@@ -327,7 +327,7 @@
 		talk func(nc net.Conn)
 	}{
 		{"garbage at once", "", func(nc net.Conn) { nc.Write([]byte("HTTP/1.1 400 Bad Request\r\n\r\n")) }},
-		{"garbage for facts", "in the answer to the facts", func(nc net.Conn) {
+		{"garbage for facts", "in the answer to the facts query", func(nc net.Conn) {
 			acceptLogin(nc).Next()
 			nc.Write(pgwire.AppendEmpty(nil, '?'))
 			io.Copy(io.Discard, nc)
@@ -339,7 +339,7 @@
 			nc.Write(pgwire.AppendDataRow(pgwire.AppendEmpty(nil, pgwire.MsgBindComplete), [][]byte{[]byte("t")}))
 			io.Copy(io.Discard, nc)
 		}},
-		{"an answer to nothing", "nothing was asked", func(nc net.Conn) {
+		{"an answer to nothing", "no query was pending", func(nc net.Conn) {
 			acceptLogin(nc)
 			nc.Write(pgwire.AppendCommandComplete(nil, "X"))
 			io.Copy(io.Discard, nc)
@@ -491,23 +491,23 @@
 	}
 	var flood sync.WaitGroup
 	var mu sync.Mutex
-	asked, refused, unadvised, odd := 0, 0, 0, 0
+	sent, refused, noDelay, otherReason := 0, 0, 0, 0
 	ctx, end := context.WithCancel(t.Context())
 	for range 150 {
 		flood.Go(func() {
 			for ctx.Err() == nil {
 				err := call("flood")
 				mu.Lock()
-				asked++
+				sent++
 				mu.Unlock()
 				if err == nil {
 					continue
 				}
-				advice, reason := time.Duration(0), ""
+				delay, reason := time.Duration(0), ""
 				for _, d := range status.Convert(err).Details() {
 					switch d := d.(type) {
 					case *errdetails.RetryInfo:
-						advice = d.RetryDelay.AsDuration()
+						delay = d.RetryDelay.AsDuration()
 					case *errdetails.ErrorInfo:
 						reason = d.Reason
 					}
@@ -515,24 +515,24 @@
 				mu.Lock()
 				if status.Code(err) == codes.ResourceExhausted {
 					refused++
-					if advice <= 0 {
-						unadvised++
+					if delay <= 0 {
+						noDelay++
 					}
 				}
 				if reason != "REFUSED" {
-					odd++
+					otherReason++
 				}
 				mu.Unlock()
 				time.Sleep(5 * time.Millisecond)
 			}
 		})
 	}
-	turned := func() int {
+	refusals := func() int {
 		mu.Lock()
 		defer mu.Unlock()
 		return refused
 	}
-	for end := time.Now().Add(time.Minute); turned() < 100 && time.Now().Before(end); {
+	for end := time.Now().Add(time.Minute); refusals() < 100 && time.Now().Before(end); {
 		time.Sleep(time.Millisecond)
 	}
 	served, calls := 0, 0
@@ -543,11 +543,11 @@
 	}
 	end()
 	flood.Wait()
-	if refused < 100 || unadvised > 0 || odd > 0 {
-		t.Errorf("%d refused at admission, %d of them without a retry delay, %d errors of other kinds", refused, unadvised, odd)
+	if refused < 100 || noDelay > 0 || otherReason > 0 {
+		t.Errorf("%d refused at admission, %d of them without a retry delay, %d errors of other kinds", refused, noDelay, otherReason)
 	}
-	if served < 20 || served*asked < (asked-refused)*calls {
-		t.Errorf("%d of %d calls of the other client were served, and %d of %d of the flooding client", served, calls, asked-refused, asked)
+	if served < 20 || served*sent < (sent-refused)*calls {
+		t.Errorf("%d of %d calls of the other client were served, and %d of %d of the flooding client", served, calls, sent-refused, sent)
 	}
 }
 
@@ -555,7 +555,7 @@
 // node connection is free again. Slow clients that do read are not affected.
 func TestClientThatDoesNotRead(t *testing.T) {
 	f := newFleet(t, lab.Spec{Extra: "admission {\n    stall 300ms\n}\n"})
-	out := func() (n int) {
+	readsInFlight := func() (n int) {
 		for _, s := range f.Trace.Statements() {
 			if s.Kind == standin.KindRead && s.Ran && s.Ended.IsZero() {
 				n++
@@ -565,7 +565,7 @@
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
-	var idle []pb.Driver_ExecuteStreamClient
+	var streams []pb.Driver_ExecuteStreamClient
 	for range 5 {
 		until(t, "a stream begins", func() bool { // a refusal is allowed: nothing ran
 			s, err := f.Drivers[0].Client().ExecuteStream(ctx, seriesReq(400000))
@@ -573,18 +573,18 @@
 				t.Fatal(err)
 			}
 			if _, err = s.Recv(); err == nil {
-				idle = append(idle, s)
+				streams = append(streams, s)
 			} else if c := status.Code(err); c != codes.Unavailable && c != codes.ResourceExhausted {
 				t.Fatal(err)
 			}
 			return err == nil
 		})
 	}
-	if out() == 0 {
+	if readsInFlight() == 0 {
 		t.Error("no read is in flight at the nodes")
 	}
-	until(t, "the nodes are free of clients that do not read", func() bool { return out() == 0 })
-	for _, s := range idle {
+	until(t, "the nodes are free of clients that do not read", func() bool { return readsInFlight() == 0 })
+	for _, s := range streams {
 		var err error
 		for err == nil {
 			_, err = s.Recv()
