--- a/cmd/mutants/main.go
+++ b/cmd/mutants/main.go
@@ -107,7 +107,7 @@
 // findBySoak runs the soak with a program and returns the seeds and rules that found a fault, or "" if none was found.
 func findBySoak(ctx context.Context, program string, first, last uint64) (string, error) {
 	s := &soak.Series{Program: program, Procs: 2, Out: io.Discard}
-	if err := s.Play(ctx, first, last); err != nil {
+	if err := s.Run(ctx, first, last); err != nil {
 		return "", err
 	}
 	var seeds []string
--- a/cmd/umberladder/experiment.go
+++ b/cmd/umberladder/experiment.go
@@ -57,7 +57,7 @@
 var liveRunner = experiment.Runner{Name: "live", Run: lab.Live}
 
 func (o *runOptions) run(cmd *cobra.Command, x *experiment.Experiment) error {
-	plant, ok := world.PlantNamed(o.plant)
+	plant, ok := world.ParsePlant(o.plant)
 	if !ok {
 		return fmt.Errorf("--plant %q is unknown; want one of %s", o.plant, strings.Join(world.PlantNames(), ", "))
 	}
--- a/cmd/umberladder/lab.go
+++ b/cmd/umberladder/lab.go
@@ -84,7 +84,7 @@
 	spec := memory.Spec{}
 	mib := 0
 	cmd := seededCommand("memory", "A driver under a memory limit: many streams and nodes, slow readers, a burst of calls", func(seed uint64) (r *lab.Report, err error) {
-		spec.Seed, spec.Limit = seed, mib<<20
+		spec.Seed, spec.MemoryLimit = seed, mib<<20
 		if spec.Program, err = os.Executable(); err != nil {
 			return nil, err
 		}
@@ -94,9 +94,9 @@
 	flags.IntVar(&mib, "limit", 256, "memory limit of the driver in MiB")
 	flags.IntVar(&spec.Streams, "streams", 20000, "open client streams")
 	flags.IntVar(&spec.Nodes, "nodes", 10000, "db nodes in the inventory")
-	flags.IntVar(&spec.Reach, "reachable", 500, "number of these nodes that answer")
-	flags.IntVar(&spec.Slow, "slow", 100, "clients that read large rows slowly")
-	flags.IntVar(&spec.Crowd, "crowd", 5000, "calls sent at once")
+	flags.IntVar(&spec.ReachableNodes, "reachable", 500, "number of these nodes that answer")
+	flags.IntVar(&spec.SlowReaders, "slow", 100, "clients that read large rows slowly")
+	flags.IntVar(&spec.BurstCalls, "crowd", 5000, "calls sent at once")
 	return cmd
 }
 
--- a/cmd/umberladder/main_test.go
+++ b/cmd/umberladder/main_test.go
@@ -112,7 +112,7 @@
 		t.Fatal(err)
 	}
 	t.Setenv(runAsProgramEnv, "1")
-	r, err := memory.Run(memory.Spec{Program: program, Limit: 192 << 20, Streams: 5000, Nodes: 1000, Reach: 50, Slow: 60, Crowd: 1000})
+	r, err := memory.Run(memory.Spec{Program: program, MemoryLimit: 192 << 20, Streams: 5000, Nodes: 1000, ReachableNodes: 50, SlowReaders: 60, BurstCalls: 1000})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/umberladder/sim.go
+++ b/cmd/umberladder/sim.go
@@ -18,16 +18,16 @@
 	var seed uint64
 	var keep string
 	var judge, late bool
-	keepModes := map[string]world.Keep{"all": world.KeepAll, "lower": world.KeepLower, "writes": world.KeepWrites}
+	keepModes := map[string]world.TokenPolicy{"all": world.KeepAllTokens, "lower": world.KeepLowerTokens, "writes": world.KeepWriteTokens}
 	cmd := &cobra.Command{
 		Use:   "sim",
 		Short: "Run drivers' engines against modelled nodes in simulated time; figures are the model's",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			cfg := world.Newsroom(drivers, slices, members, rate, length)
-			cfg.Seed, cfg.Crashes, cfg.Judge, cfg.Late = seed, crashes, judge, late
+			cfg.Seed, cfg.Crashes, cfg.CheckSessions, cfg.LateReads = seed, crashes, judge, late
 			var known bool
-			if cfg.Keep, known = keepModes[keep]; !known {
+			if cfg.TokenPolicy, known = keepModes[keep]; !known {
 				return fmt.Errorf("--keep %q is unknown; want all, lower or writes", keep)
 			}
 			defer debug.SetGCPercent(debug.SetGCPercent(400)) // trades memory for fewer collections; most objects are short-lived
@@ -39,7 +39,7 @@
 			w := cmd.OutOrStdout()
 			fmt.Fprintf(w, "simulated: %d drivers, %d nodes in %d slices, %.0f requests a second for %v, seed %d\n", drivers, slices*members, slices, rate, length, seed)
 			fmt.Fprintf(w, "  requests %d, served %d (%d in target, %d reads at the primary), refused %d, failed %d\n", r.Requests, r.Served, r.InTarget, r.AtPrimary, r.Refused, r.Failed)
-			fmt.Fprintf(w, "  reads with a token %d, %.3f of them at the primary; chances to break what sessions saw %d\n", r.OwnReads, float64(r.OwnAtPrimary)/float64(max(1, r.OwnReads)), r.Chances)
+			fmt.Fprintf(w, "  reads with a token %d, %.3f of them at the primary; chances to break what sessions saw %d\n", r.SessionReads, float64(r.SessionReadsAtPrimary)/float64(max(1, r.SessionReads)), r.SessionChances)
 			fmt.Fprintf(w, "  attempts %d, polls %d, events %d in %d steps, promotions %d\n", r.Attempts, r.Polls, r.Events, r.Steps, r.Promotions)
 			fmt.Fprintf(w, "  digest %016x, %v of this machine's time\n", r.Digest, time.Since(begin).Round(time.Millisecond))
 			broken := len(r.Broken)
--- a/cmd/umberladder/soak.go
+++ b/cmd/umberladder/soak.go
@@ -31,7 +31,7 @@
 				return err
 			}
 			s.Out = cmd.OutOrStdout()
-			err = s.Play(cmd.Context(), first, last)
+			err = s.Run(cmd.Context(), first, last)
 			s.Write(cmd.OutOrStdout())
 			if err == nil && s.Broken() > 0 {
 				return errReported
@@ -43,7 +43,7 @@
 	flags.Uint64Var(&seed, "seed", 1, "seed of the random choices")
 	flags.StringVar(&seeds, "seeds", "", "range of seeds to run, A-B, instead of one")
 	flags.DurationVar(&s.For, "for", 0, "start no further seed after this time; 0 for no bound")
-	flags.StringVar(&s.Keep, "keep", "", "directory for each seed's configuration, log and trace")
+	flags.StringVar(&s.KeepDir, "keep", "", "directory for each seed's configuration, log and trace")
 	flags.IntVar(&s.Procs, "procs", 1, "seeds to run at once")
 	return cmd
 }
--- a/lab/audit.go
+++ b/lab/audit.go
@@ -75,14 +75,14 @@
 // served.
 func (f *Fleet) operation(c *Call, begin time.Time) (history.Op, bool) {
 	op := history.Op{ID: c.Tag, Session: c.Session, Slice: c.Slice, Key: c.Key, Begin: c.Sent.Sub(begin), End: c.Answered.Sub(begin),
-		Carries: c.Carries}
+		Covered: c.Carries}
 	if c.Class.Need == balance.NeedWrite {
-		op.Kind, op.Value, op.Ended = history.Write, c.Tag, history.Unknown
+		op.Kind, op.Value, op.Outcome = history.Write, c.Tag, history.Unknown
 		switch c.Verdict {
 		case Served:
-			op.Ended = history.Served
+			op.Outcome = history.Served
 		case Refused:
-			op.Ended = history.Refused
+			op.Outcome = history.Refused
 		}
 		return op, true
 	}
--- a/lab/bench_test.go
+++ b/lab/bench_test.go
@@ -82,7 +82,7 @@
 		b.Run(c.name, func(b *testing.B) {
 			for range b.N {
 				const drivers, newcomers = 50, 60
-				f, err := NewFleet(Spec{Slices: 2, Members: 3, Drivers: drivers, Node: SmallNode, Dir: b.TempDir(), Seed: 5, Extra: c.extra})
+				f, err := NewFleet(Spec{Slices: 2, Members: 3, Drivers: drivers, Node: SmallNode, Dir: b.TempDir(), Seed: 5, ExtraSettings: c.extra})
 				if err != nil {
 					b.Fatal(err)
 				}
--- a/lab/chain.go
+++ b/lab/chain.go
@@ -93,7 +93,7 @@
 	if seed%2 == 1 {
 		node.CommitDelay = slowCommit
 	}
-	f, err := NewFleet(Spec{Slices: 2, Members: 4, Drivers: 2, Node: node, Seed: seed, Extra: "tokens history on\n"})
+	f, err := NewFleet(Spec{Slices: 2, Members: 4, Drivers: 2, Node: node, Seed: seed, ExtraSettings: "tokens history on\n"})
 	if err != nil {
 		return nil, err
 	}
--- a/lab/experiment/experiment_test.go
+++ b/lab/experiment/experiment_test.go
@@ -52,7 +52,7 @@
 	plain := run("")
 	for i, name := range world.TroubleNames() {
 		size := ""
-		if world.TroubleKind(i).Sized() {
+		if world.TroubleKind(i).HasSize() {
 			size = map[string]string{"lost": "size 10%", "path": "size 20", "load": "size 3", "slow": "size 5", "lag": "size 40", "full": "size 2", "greet": "size 50", "reap": "size 20", "bad": "size 30%", "hot": "size 80%"}[name]
 		}
 		plain, more := plain, ""
@@ -100,7 +100,7 @@
 func TestPlantedFault(t *testing.T) {
 	x := parse(t, "sessions 3\nkeys 2\nwork 20ms")
 	cfg := &x.Arms[0].World
-	cfg.Keep, cfg.Late, cfg.Rate, cfg.Lags = world.KeepLower, true, 400, []float64{1, 1, 5, 10}
+	cfg.TokenPolicy, cfg.LateReads, cfg.Rate, cfg.ReplayFactors = world.KeepLowerTokens, true, 400, []float64{1, 1, 5, 10}
 	all, err := x.Run(context.Background(), Options{Seed: 1, Procs: 2})
 	if err != nil {
 		t.Fatal(err)
--- a/lab/experiment/file.go
+++ b/lab/experiment/file.go
@@ -71,10 +71,10 @@
 // config returns the configuration of a run, without its seed.
 func (s *setup) config() world.Config {
 	cfg := world.Newsroom(s.drivers, s.slices, s.members, s.rate, s.length)
-	cfg.Cores, cfg.Work, cfg.Spread, cfg.Way, cfg.Cross, cfg.Ship, cfg.Apply = s.cores, s.work, s.workSpread, s.oneWayDelay, s.crossZoneDelay, s.shipDelay, s.applyDelay
-	cfg.Elect, cfg.Notice, cfg.Tries, cfg.Pause, cfg.Budget, cfg.EventCost = s.electionTime, s.noticeDelay, s.maxTries, s.retryPause, s.retryBudget, s.eventCost
-	cfg.Sessions, cfg.Keys, cfg.Visits, cfg.Judge, cfg.Troubles, cfg.Engine.Zones = s.sessions, s.keys, s.slicesPerSession, s.checkSessions, s.troubles, s.zones
-	cfg.Tail, cfg.Jitter, cfg.Cap, cfg.Greet, cfg.Think, cfg.Played = s.workTail, s.jitter, s.maxConnections, s.connectionCost, s.thinkTime, s.replay
+	cfg.Cores, cfg.Work, cfg.WorkSigma, cfg.LinkDelay, cfg.CrossZoneDelay, cfg.ReplicationDelay, cfg.ReplayTime = s.cores, s.work, s.workSpread, s.oneWayDelay, s.crossZoneDelay, s.shipDelay, s.applyDelay
+	cfg.ElectionTime, cfg.ListDelay, cfg.MaxTries, cfg.RetryPause, cfg.RetryBudget, cfg.EventCost = s.electionTime, s.noticeDelay, s.maxTries, s.retryPause, s.retryBudget, s.eventCost
+	cfg.Sessions, cfg.KeysPerSlice, cfg.SlicesPerSession, cfg.CheckSessions, cfg.Troubles, cfg.Engine.Zones = s.sessions, s.keys, s.slicesPerSession, s.checkSessions, s.troubles, s.zones
+	cfg.TailIndex, cfg.Jitter, cfg.MaxConnections, cfg.ConnectTime, cfg.ThinkTime, cfg.Arrivals = s.workTail, s.jitter, s.maxConnections, s.connectionCost, s.thinkTime, s.replay
 	cfg.Engine.Router.Classes = slices.Clone(cfg.Engine.Router.Classes)
 	if len(s.classes) > 0 {
 		cfg.Engine.Router.Classes, cfg.Shares = nil, nil
@@ -252,7 +252,7 @@
 		p.AddProblem(d.Name, "trouble needs a kind and a block; kinds: %s", strings.Join(world.TroubleNames(), ", "))
 		return
 	}
-	kind, ok := world.TroubleNamed(d.Args[0].Text)
+	kind, ok := world.ParseTroubleKind(d.Args[0].Text)
 	if !ok {
 		p.AddProblem(d.Args[0], "unknown trouble %q; kinds: %s", d.Args[0].Text, strings.Join(world.TroubleNames(), ", "))
 		return
@@ -273,9 +273,9 @@
 	switch {
 	case !seen["at"]:
 		p.AddProblem(d.Name, "trouble %s needs a time, as in: at 5s", kind)
-	case kind.Sized() && !seen["size"]:
+	case kind.HasSize() && !seen["size"]:
 		p.AddProblem(d.Name, "trouble %s needs a size", kind)
-	case !kind.Sized() && seen["size"]:
+	case !kind.HasSize() && seen["size"]:
 		p.AddProblem(d.Name, "trouble %s takes no size", kind)
 	}
 	p.troubleWords = append(p.troubleWords, d.Name)
@@ -294,7 +294,7 @@
 		if strings.HasSuffix(w.Text, "%") {
 			v /= 100
 		}
-		if t.Size = v; err != nil || !(v > 0 && v <= 1000) || t.Kind == world.TroubleFull && v < 1 || (t.Kind == world.TroubleLost || t.Kind == world.TroubleBad || t.Kind == world.TroubleHot) && v > 1 {
+		if t.Size = v; err != nil || !(v > 0 && v <= 1000) || t.Kind == world.TroubleConnLimit && v < 1 || (t.Kind == world.TroubleLoss || t.Kind == world.TroubleErrors || t.Kind == world.TroubleHotDriver) && v > 1 {
 			p.AddProblem(w, "size: %q is not valid for this trouble; want a multiple like 4 or a share like 10%%", w.Text)
 		}
 	case "slice":
@@ -306,7 +306,7 @@
 	case "driver":
 		p.ParseInt(w, "driver", &t.Place.Driver, 0, maxIndex)
 	case "hall":
-		t.Place.Hall = w.Text
+		t.Place.Zone = w.Text
 	case "all":
 		if t.Place.All = w.Text == "on"; w.Text != "on" && w.Text != "off" {
 			p.AddProblem(w, "all must be on or off")
@@ -373,8 +373,8 @@
 			p.AddProblem(w, "trouble %s starts at %v, but the run ends at %v", t.Kind, t.At, s.length)
 		case t.Place.Slice >= s.slices || t.Place.Member >= s.members || t.Place.Driver >= s.drivers:
 			p.AddProblem(w, "trouble %s names a slice, member or driver that arm %q does not have", t.Kind, name.Text)
-		case t.Place.Hall != "" && !slices.Contains(s.zones, t.Place.Hall):
-			p.AddProblem(w, "trouble %s: hall %q is not listed in halls", t.Kind, t.Place.Hall)
+		case t.Place.Zone != "" && !slices.Contains(s.zones, t.Place.Zone):
+			p.AddProblem(w, "trouble %s: hall %q is not listed in halls", t.Kind, t.Place.Zone)
 		}
 	}
 	p.x.Arms = append(p.x.Arms, Arm{name.Text, s.config()})
--- a/lab/experiment/hunt.go
+++ b/lab/experiment/hunt.go
@@ -32,7 +32,7 @@
 	}
 	for _, t := range d.Troubles {
 		fmt.Fprintf(&b, "trouble %s {\n    at %v\n    for %v\n", t.Kind, t.At, t.For)
-		if t.Kind.Sized() {
+		if t.Kind.HasSize() {
 			fmt.Fprintf(&b, "    size %g\n", t.Size)
 		}
 		if t.Place.Slice >= 0 {
@@ -49,8 +49,8 @@
 		if t.Place.All {
 			b.WriteString("    all on\n")
 		}
-		if t.Place.Hall != "" {
-			fmt.Fprintf(&b, "    hall %s\n", t.Place.Hall)
+		if t.Place.Zone != "" {
+			fmt.Fprintf(&b, "    hall %s\n", t.Place.Zone)
 		}
 		b.WriteString("}\n")
 	}
@@ -69,17 +69,17 @@
 		t := world.Trouble{Kind: world.TroubleKind(rng.IntN(len(world.TroubleNames()))), Place: world.Anywhere,
 			At:  (middle/2 + time.Duration(rng.Float64()*float64(middle))).Round(10 * time.Millisecond),
 			For: time.Duration((0.05 + 3*rng.Float64()) * float64(time.Second)).Round(10 * time.Millisecond)}
-		t.Size = map[world.TroubleKind]float64{world.TroubleSlow: 2 + 10*rng.Float64(), world.TroublePath: 1 + 40*rng.Float64(),
-			world.TroubleLost: 0.01 + 0.3*rng.Float64(), world.TroubleLoad: 1 + 8*rng.Float64(),
-			world.TroubleLag: 2 + 60*rng.Float64(), world.TroubleFull: float64(1 + rng.IntN(12)), world.TroubleGreet: 1 + 60*rng.Float64(),
-			world.TroubleReap: 20 + 900*rng.Float64(), world.TroubleBad: 0.05 + 0.5*rng.Float64(), world.TroubleHot: 0.1 + 0.8*rng.Float64()}[t.Kind]
+		t.Size = map[world.TroubleKind]float64{world.TroubleSlow: 2 + 10*rng.Float64(), world.TroubleDelay: 1 + 40*rng.Float64(),
+			world.TroubleLoss: 0.01 + 0.3*rng.Float64(), world.TroubleLoad: 1 + 8*rng.Float64(),
+			world.TroubleLag: 2 + 60*rng.Float64(), world.TroubleConnLimit: float64(1 + rng.IntN(12)), world.TroubleSlowConnect: 1 + 60*rng.Float64(),
+			world.TroubleIdleDrop: 20 + 900*rng.Float64(), world.TroubleErrors: 0.05 + 0.5*rng.Float64(), world.TroubleHotDriver: 0.1 + 0.8*rng.Float64()}[t.Kind]
 		t.Size = float64(int(t.Size*100)) / 100
 		t.Place.Slice, t.Place.Member = rng.IntN(d.Slices), rng.IntN(d.Members)
 		if t.Place.Primary = rng.IntN(2) == 0; t.Place.Primary {
 			t.Place.Member = -1
 		}
 		t.Place.All = rng.IntN(8) == 0
-		t.Place.Driver, t.Place.Hall = rng.IntN(d.Drivers), zoneNames[rng.IntN(d.Zones)]
+		t.Place.Driver, t.Place.Zone = rng.IntN(d.Drivers), zoneNames[rng.IntN(d.Zones)]
 		d.Troubles = append(d.Troubles, t)
 	}
 	return d
--- a/lab/experiment/hunt_test.go
+++ b/lab/experiment/hunt_test.go
@@ -13,7 +13,9 @@
 // without the fault.
 func TestHunt(t *testing.T) {
 	ctx := context.Background()
-	fault := func(c *world.Config) { c.Keep, c.Late, c.Sessions, c.Visits, c.Keys = world.KeepLower, true, 3, 1, 2 }
+	fault := func(c *world.Config) {
+		c.TokenPolicy, c.LateReads, c.Sessions, c.SlicesPerSession, c.KeysPerSlice = world.KeepLowerTokens, true, 3, 1, 2
+	}
 	f, err := Hunt(ctx, 5, 250, fault, nil)
 	if err != nil {
 		t.Fatal(err)
--- a/lab/experiment/run.go
+++ b/lab/experiment/run.go
@@ -117,11 +117,11 @@
 
 func computeFigures(cfg *world.Config, r *world.Result, extra time.Duration) Figures {
 	n := float64(max(1, r.Requests))
-	f := Figures{Requests: r.Requests, Struck: r.Struck, Broken: r.Broken, Causes: r.Causes, Digest: r.Digest, Served: float64(r.Served) / n,
-		Refused: float64(r.Refused+r.Turned) / n, Failed: float64(r.Failed+r.Orphaned) / n, Noticed: math.NaN(), Recovery: recoveryTime(cfg, r)}
-	f.Goodput = total(r.Worth) / max(1, total(r.Asked))
+	f := Figures{Requests: r.Requests, Struck: r.Troubles, Broken: r.Broken, Causes: r.Causes, Digest: r.Digest, Served: float64(r.Served) / n,
+		Refused: float64(r.Refused+r.NotAdmitted) / n, Failed: float64(r.Failed+r.Orphaned) / n, Noticed: math.NaN(), Recovery: recoveryTime(cfg, r)}
+	f.Goodput = total(r.Value) / max(1, total(r.OfferedValue))
 	reads, all := 0, hdrhistogram.New(1, 600_000_000, 3)
-	for name, h := range r.Took {
+	for name, h := range r.Latencies {
 		all.Merge(h)
 		f.P99 = max(f.P99, float64(h.ValueAtQuantile(99))/1e6)
 		if name != "write" {
@@ -131,7 +131,7 @@
 	f.All99, f.P50 = float64(all.ValueAtQuantile(99))/1e6, float64(all.ValueAtQuantile(50))/1e6
 	f.Primary = float64(r.AtPrimary) / float64(max(1, reads))
 	f.Polls = float64(r.Polls) / float64(cfg.Slices*cfg.Members) / (cfg.Length + extra).Seconds()
-	for _, d := range r.Noticed {
+	for _, d := range r.PromotionDelays {
 		f.Noticed = max(d.Seconds(), valueOr(f.Noticed, 0))
 	}
 	return f
@@ -162,8 +162,8 @@
 		return math.NaN()
 	}
 	const windowsPerSecond = int(time.Second / world.Window)
-	for i := int(last / world.Window); i+windowsPerSecond <= int(cfg.Length/world.Window) && i+windowsPerSecond <= len(r.Worth); i++ {
-		if total(r.Worth[i:i+windowsPerSecond]) >= 0.9*total(r.Asked[i:i+windowsPerSecond]) {
+	for i := int(last / world.Window); i+windowsPerSecond <= int(cfg.Length/world.Window) && i+windowsPerSecond <= len(r.Value); i++ {
+		if total(r.Value[i:i+windowsPerSecond]) >= 0.9*total(r.OfferedValue[i:i+windowsPerSecond]) {
 			return (time.Duration(i)*world.Window - last).Seconds()
 		}
 	}
--- a/lab/experiment/sweep_test.go
+++ b/lab/experiment/sweep_test.go
@@ -37,7 +37,7 @@
 // the same results as an uninterrupted one.
 func TestSweepGoesOn(t *testing.T) {
 	x := readGrid(t, gridFile)
-	if len(x.Arms) != 6 || x.Arms[5].Name != "rate 100, tries 3" || x.Arms[5].World.Rate != 100 || x.Arms[5].World.Tries != 3 {
+	if len(x.Arms) != 6 || x.Arms[5].Name != "rate 100, tries 3" || x.Arms[5].World.Rate != 100 || x.Arms[5].World.MaxTries != 3 {
 		t.Fatalf("%d arms", len(x.Arms))
 	}
 	uninterrupted, resumed, err := x.Sweep(context.Background(), t.TempDir(), Options{Seed: 5, Procs: 4})
--- a/lab/fleet.go
+++ b/lab/fleet.go
@@ -25,17 +25,17 @@
 
 // Spec describes a fleet.
 type Spec struct {
-	Slices  int
-	Members int // nodes of a slice, including the primary
-	Drivers int
-	Site    Site      // NewsroomSite if it has no class
-	Layout  [][]Place // the nodes of each slice, the primary first; replaces Slices and Members
-	Zones   []string  // assigned to nodes and drivers in turn; the newsroom's two zones if empty
-	Dir     string    // if set, drivers follow an inventory file in this directory instead of SetNodes
-	Node    standin.Config
-	Extra   string // further lines of the drivers' settings
-	Log     *zap.Logger
-	Seed    uint64
+	Slices        int
+	Members       int // nodes of a slice, including the primary
+	Drivers       int
+	Site          Site      // NewsroomSite if it has no class
+	Layout        [][]Place // the nodes of each slice, the primary first; replaces Slices and Members
+	Zones         []string  // assigned to nodes and drivers in turn; the newsroom's two zones if empty
+	Dir           string    // if set, drivers follow an inventory file in this directory instead of SetNodes
+	Node          standin.Config
+	ExtraSettings string // further lines of the drivers' settings
+	Log           *zap.Logger
+	Seed          uint64
 }
 
 // Place is the name and zone of one node.
@@ -141,7 +141,7 @@
 func (f *Fleet) Settings(d *Driver) (*settings.Settings, error) {
 	text := f.Spec.Site.Settings() + "hall " + strings.Join(f.Spec.Zones, " ") + "\nhere " + d.Zone + "\n" +
 		fmt.Sprintf("listen grpc 127.0.0.1:0\nrouters %d\npool user %s\ncold ramp %s\ncold from %g%%\n", f.Spec.Drivers, d.Name,
-			f.Spec.Node.RampTime, 100*f.Spec.Node.ColdFrom) + f.Spec.Extra
+			f.Spec.Node.RampTime, 100*f.Spec.Node.ColdFrom) + f.Spec.ExtraSettings
 	if f.file != nil {
 		text += f.file.settings(d.Name)
 	}
--- a/lab/guarantees.go
+++ b/lab/guarantees.go
@@ -46,7 +46,7 @@
 // planted fault.
 func History(seed uint64, plant Plant) (*Report, error) {
 	node := mixedNode(rand.New(rand.NewPCG(seed, 0x6e6f6465)))
-	d, err := startDay("history", Spec{Slices: 2, Members: 4, Drivers: 2, Node: node, Site: mixedSite(), Seed: seed, Extra: "tokens history on\n"}, 0x686973)
+	d, err := startDay("history", Spec{Slices: 2, Members: 4, Drivers: 2, Node: node, Site: mixedSite(), Seed: seed, ExtraSettings: "tokens history on\n"}, 0x686973)
 	if err != nil {
 		return nil, err
 	}
--- a/lab/history/history.go
+++ b/lab/history/history.go
@@ -22,14 +22,14 @@
 	Write
 )
 
-// End is the outcome of an operation for its client.
-type End uint8
+// Outcome is the outcome of an operation for its client.
+type Outcome uint8
 
 // The outcomes of an operation.
 const (
-	Served  End = iota
-	Refused     // the driver answered that it had no effect
-	Unknown     // it may have taken effect, or may still do so
+	Served  Outcome = iota
+	Refused         // the driver answered that it had no effect
+	Unknown         // it may have taken effect, or may still do so
 )
 
 // Op is one operation as its client observed it. All times are on one clock.
@@ -42,10 +42,10 @@
 	Value   string // value written, or value a read returned; "" for none
 	Begin   time.Duration
 	End     time.Duration // when its client received the answer
-	Ended   End
-	// Carries lists the operations covered by the token it was sent with: of its own session, or of other sessions that
+	Outcome Outcome
+	// Covered lists the operations covered by the token it was sent with: of its own session, or of other sessions that
 	// passed their tokens on.
-	Carries []string
+	Covered []string
 	Fresh   bool          // a read that must return the latest value
 	Bound   time.Duration // most staleness allowed; 0 for any
 	Excused bool          // of a read: answered by a former primary before any driver was notified of its demotion
@@ -75,14 +75,14 @@
 // Violation is one violation of a guarantee.
 type Violation struct {
 	Text string
-	Part []Op // the operations that prove it, by begin time
+	Ops  []Op // the operations that prove it, by begin time
 }
 
 // String returns the text, followed by one line per operation.
 func (v *Violation) String() string {
 	var b strings.Builder
 	b.WriteString(v.Text)
-	for _, op := range v.Part {
+	for _, op := range v.Ops {
 		b.WriteString("\n      " + op.String())
 	}
 	return b.String()
@@ -92,7 +92,7 @@
 func (o *Op) String() string {
 	what := fmt.Sprintf("read %s/%s -> %q", o.Slice, o.Key, o.Value)
 	if o.Kind == Write {
-		what = fmt.Sprintf("write %s/%s = %q, %s", o.Slice, o.Key, o.Value, [...]string{"served", "refused", "end unknown"}[o.Ended])
+		what = fmt.Sprintf("write %s/%s = %q, %s", o.Slice, o.Key, o.Value, [...]string{"served", "refused", "end unknown"}[o.Outcome])
 	}
 	line := fmt.Sprintf("%8.3f to %8.3f  %s %s: %s", o.Begin.Seconds(), o.End.Seconds(), o.Session, o.ID, what)
 	if o.Source != "" {
@@ -186,7 +186,7 @@
 	slices.SortStableFunc(ops, func(a, b int) int { return int(c.h.Ops[a].Begin - c.h.Ops[b].Begin) })
 	v := Violation{Text: text}
 	for _, i := range ops {
-		v.Part = append(v.Part, c.h.Ops[i])
+		v.Ops = append(v.Ops, c.h.Ops[i])
 	}
 	c.rules[rule].Broken = append(c.rules[rule].Broken, v)
 }
@@ -200,7 +200,7 @@
 	byKey := map[key][]answered{}
 	for i := range c.h.Ops {
 		op := &c.h.Ops[i]
-		if v := c.versions[op.Value]; op.Kind == Write && op.Ended == Served && v != nil && !v.Lost {
+		if v := c.versions[op.Value]; op.Kind == Write && op.Outcome == Served && v != nil && !v.Lost {
 			p := key{op.Slice, op.Key}
 			byKey[p] = append(byKey[p], answered{op.End, v})
 		}
@@ -215,7 +215,7 @@
 	}
 	for i := range c.h.Ops {
 		op := &c.h.Ops[i]
-		if op.Kind != Read || op.Ended != Served || op.Bound == 0 {
+		if op.Kind != Read || op.Outcome != Served || op.Bound == 0 {
 			continue
 		}
 		all := byKey[key{op.Slice, op.Key}]
@@ -261,20 +261,20 @@
 func (c *checker) checkAnswers() {
 	for i := range c.h.Ops {
 		op := &c.h.Ops[i]
-		if op.Kind != Write || op.Ended == Unknown {
+		if op.Kind != Write || op.Outcome == Unknown {
 			continue
 		}
 		c.rules[AnswersKept].Chances++
 		switch done := c.versions[op.Value] != nil; {
-		case done && op.Ended == Refused:
+		case done && op.Outcome == Refused:
 			c.addViolation(AnswersKept, op.ID+" was refused and yet done", i)
-		case !done && op.Ended == Served:
+		case !done && op.Outcome == Served:
 			c.addViolation(AnswersKept, op.ID+" was served and never done", i)
 		}
 	}
 	for i := range c.h.Ops {
 		op := &c.h.Ops[i]
-		if op.Kind == Read && op.Ended == Served && op.Value != "" && c.versions[op.Value] == nil {
+		if op.Kind == Read && op.Outcome == Served && op.Value != "" && c.versions[op.Value] == nil {
 			c.addViolation(AnswersKept, fmt.Sprintf("%s returned %q, which nobody wrote", op.ID, op.Value), i)
 		}
 	}
--- a/lab/history/history_test.go
+++ b/lab/history/history_test.go
@@ -36,16 +36,16 @@
 			name, value, _ := strings.Cut(o, "=")
 			switch name {
 			case "carries":
-				op.Carries = strings.Split(value, ",")
+				op.Covered = strings.Split(value, ",")
 			case "fresh":
 				op.Fresh = true
 			case "bound":
 				n, _ := strconv.Atoi(value)
 				op.Bound = time.Duration(n) * time.Millisecond
 			case "unknown":
-				op.Ended = Unknown
+				op.Outcome = Unknown
 			case "refused":
-				op.Ended = Refused
+				op.Outcome = Refused
 			case "excused":
 				op.Excused = true
 			default:
@@ -173,7 +173,7 @@
 					t.Errorf("%s is broken %d times", r.Name, len(r.Broken))
 				case i == c.rule:
 					var ids []string
-					for _, op := range r.Broken[0].Part {
+					for _, op := range r.Broken[0].Ops {
 						ids = append(ids, op.ID)
 					}
 					if got := strings.Join(ids, " "); got != c.part {
@@ -257,7 +257,7 @@
 		}
 		op := Op{ID: fmt.Sprintf("o%d", i), Session: fmt.Sprintf("s%d", s), Slice: "s", Key: fmt.Sprintf("k%d", rng.IntN(keys)), Begin: now, End: now + 500*time.Microsecond}
 		if all[s].last >= 0 {
-			op.Carries = []string{fmt.Sprintf("o%d", all[s].last)}
+			op.Covered = []string{fmt.Sprintf("o%d", all[s].last)}
 		}
 		switch {
 		case rng.IntN(4) == 0:
@@ -298,7 +298,7 @@
 		}
 		found := 0
 		for i := len(h.Ops) - 1; i > 0; i-- { // reads return no value, as before the first write
-			if op := &h.Ops[i]; op.Kind == Read && !op.Fresh && op.Value != "" && len(op.Carries) > 0 {
+			if op := &h.Ops[i]; op.Kind == Read && !op.Fresh && op.Value != "" && len(op.Covered) > 0 {
 				op.Value = ""
 				found++
 			}
--- a/lab/history/linearize.go
+++ b/lab/history/linearize.go
@@ -38,9 +38,9 @@
 		op := &c.h.Ops[i]
 		v := c.versions[op.Value]
 		switch {
-		case op.Ended == Refused, v != nil && v.Lost:
+		case op.Outcome == Refused, v != nil && v.Lost:
 			continue
-		case op.Kind == Read && (op.Ended != Served || !op.Fresh):
+		case op.Kind == Read && (op.Outcome != Served || !op.Fresh):
 			continue
 		case op.Kind == Read && op.Excused:
 			c.rules[Linearizable].Excused++
@@ -75,7 +75,7 @@
 		if o.Input = (operation{op.Kind == Write, op.Value}); op.Kind == Read {
 			o.Input = operation{}
 		}
-		if op.Ended == Unknown {
+		if op.Outcome == Unknown {
 			o.Return = math.MaxInt64
 		}
 		all = append(all, o)
--- a/lab/history/sessions.go
+++ b/lab/history/sessions.go
@@ -112,7 +112,7 @@
 	c.state[i] = visiting
 	op := &c.h.Ops[i]
 	before := emptyPast
-	for _, id := range op.Carries {
+	for _, id := range op.Covered {
 		j, ok := c.byID[id]
 		if !ok {
 			continue
@@ -137,7 +137,7 @@
 func (c *checker) pastAfter(i int, f *past) *past {
 	op := &c.h.Ops[i]
 	v := c.versions[op.Value]
-	if op.Ended != Served || op.Value == "" || v == nil || v.Lost {
+	if op.Outcome != Served || op.Value == "" || v == nil || v.Lost {
 		return f
 	}
 	at, source := key{v.Slice, v.Key}, ownWrite
@@ -166,7 +166,7 @@
 // checkOp compares the version that an operation read or wrote with the version of the key in its causal past.
 func (c *checker) checkOp(i int) {
 	op := &c.h.Ops[i]
-	if op.Ended != Served {
+	if op.Outcome != Served {
 		return
 	}
 	required, ok := c.before[i].at(key{op.Slice, op.Key})
--- a/lab/importday.go
+++ b/lab/importday.go
@@ -113,7 +113,7 @@
 		return
 	}
 	i.printf("trouble %s {\n    at %v\n    for %v", kind, micros(max(0, at)), micros(max(duration, 1e3)))
-	if kind.Sized() {
+	if kind.HasSize() {
 		i.printf("    size %.4g", min(max(size, 0.001), 1000))
 	}
 	if place.Slice >= 0 {
@@ -128,8 +128,8 @@
 	if place.All {
 		i.printf("    all on")
 	}
-	if place.Hall != "" {
-		i.printf("    hall %s", place.Hall)
+	if place.Zone != "" {
+		i.printf("    hall %s", place.Zone)
 	}
 	i.printf("}")
 }
@@ -171,15 +171,15 @@
 	case "replica_lag":
 		i.writeForServers(t, world.TroubleLag, t.At, t.Len, 20*t.Size)
 	case "handshake_slow":
-		i.writeForServers(t, world.TroubleGreet, t.At, t.Len, 100)
+		i.writeForServers(t, world.TroubleSlowConnect, t.At, t.Len, 100)
 	case "idle_reap":
-		i.writeForServers(t, world.TroubleReap, t.At, t.Len, max(100, t.Size*1e3))
+		i.writeForServers(t, world.TroubleIdleDrop, t.At, t.Len, max(100, t.Size*1e3))
 	case "bad_requests":
-		i.writeTrouble(world.TroubleBad, t.At, t.Len, min(t.Size, 1), world.Anywhere)
+		i.writeTrouble(world.TroubleErrors, t.At, t.Len, min(t.Size, 1), world.Anywhere)
 	case "hot_caller":
-		i.writeTrouble(world.TroubleHot, t.At, t.Len, min(t.Size, 1), world.Anywhere)
+		i.writeTrouble(world.TroubleHotDriver, t.At, t.Len, min(t.Size, 1), world.Anywhere)
 	case "conn_squeeze":
-		i.writeForServers(t, world.TroubleFull, t.At, t.Len, float64(max(4, len(i.Balancers)/2)))
+		i.writeForServers(t, world.TroubleConnLimit, t.At, t.Len, float64(max(4, len(i.Balancers)/2)))
 	case "shared_slow":
 		i.writeTrouble(world.TroubleSlow, t.At, t.Len, t.Size, all)
 	case "slow_link":
@@ -187,7 +187,7 @@
 	case "burst":
 		i.writeTrouble(world.TroubleLoad, t.At, t.Len, t.Size, world.Anywhere)
 	case "discovery_down":
-		i.writeTrouble(world.TroubleDeaf, t.At, t.Len, 0, world.Anywhere)
+		i.writeTrouble(world.TroubleListsHeld, t.At, t.Len, 0, world.Anywhere)
 	case "wrong_list":
 		i.writeForServers(t, world.TroubleUnlist, t.At, t.Len, 0)
 	case "balancer_crash":
@@ -207,10 +207,10 @@
 		minTarget = min(minTarget, c.Aim)
 	}
 	place := world.Anywhere
-	place.Hall = i.Zones[min(max(t.Which, 0), len(i.Zones)-1)]
-	i.writeTrouble(world.TroublePath, t.At, t.Len, t.Size*minTarget/max(1, i.Net.Cross, i.Net.Same), place)
+	place.Zone = i.Zones[min(max(t.Which, 0), len(i.Zones)-1)]
+	i.writeTrouble(world.TroubleDelay, t.At, t.Len, t.Size*minTarget/max(1, i.Net.Cross, i.Net.Same), place)
 	if t.Extra > 0 {
-		i.writeTrouble(world.TroubleLost, t.At, t.Len, min(t.Extra, 1), place)
+		i.writeTrouble(world.TroubleLoss, t.At, t.Len, min(t.Extra, 1), place)
 	}
 }
 
--- a/lab/live.go
+++ b/lab/live.go
@@ -66,9 +66,9 @@
 		l.schedule(time.Until(l.begin.Add(t.At)), t.Kind.String(), func(context.Context) { l.play(t, rng) })
 	}
 	switch {
-	case len(cfg.Played) > 0:
+	case len(cfg.Arrivals) > 0:
 		l.clients.Go(l.replayRecorded)
-	case cfg.Think > 0:
+	case cfg.ThinkTime > 0:
 		l.closedLoop()
 	default:
 		for d := range l.fleet.Drivers {
@@ -86,7 +86,7 @@
 	}
 	spec := Spec{Slices: cfg.Slices, Members: cfg.Members, Drivers: cfg.Drivers, Site: siteOf(&cfg), Zones: cfg.Engine.Zones, Node: nodeOf(&cfg), Seed: cfg.Seed, Log: l.promotionLog.logger()}
 	if cfg.Gate == nil {
-		spec.Extra = "admission on off\n"
+		spec.ExtraSettings = "admission on off\n"
 	}
 	var err error
 	if l.day, err = startDay("live", spec, 0x6c697665); err != nil {
@@ -121,7 +121,7 @@
 
 func nodeOf(cfg *world.Config) standin.Config {
 	r := &cfg.Engine.Router
-	return standin.Config{Cores: cfg.Cores, Read: cfg.Work, Write: cfg.Work, LogSigma: cfg.Spread, ParetoShape: cfg.Tail, ShipDelay: cfg.Ship, ReplayTime: cfg.Apply, MaxConns: cfg.Cap, ConnectTime: cfg.Greet,
+	return standin.Config{Cores: cfg.Cores, Read: cfg.Work, Write: cfg.Work, LogSigma: cfg.WorkSigma, ParetoShape: cfg.TailIndex, ShipDelay: cfg.ReplicationDelay, ReplayTime: cfg.ReplayTime, MaxConns: cfg.MaxConnections, ConnectTime: cfg.ConnectTime,
 		ColdFrom: r.ColdFrom, RampTime: r.RampTime}
 }
 
@@ -129,11 +129,11 @@
 func (l *live) linkTo(driver string, n *standin.Node) (time.Duration, float64) {
 	d := l.fleet.driverNamed(driver)
 	if d == nil || d.Zone == n.Zone {
-		return l.cfg.Way, 0
+		return l.cfg.LinkDelay, 0
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	delay, lost := max(l.cfg.Cross, l.cfg.Way), 0.0
+	delay, lost := max(l.cfg.CrossZoneDelay, l.cfg.LinkDelay), 0.0
 	for _, zone := range []string{d.Zone, n.Zone} {
 		p := l.zonePaths[zone]
 		delay += p.extra + max(0, time.Until(p.cutUntil))
@@ -169,7 +169,7 @@
 		l.clients.Go(func() {
 			for {
 				l.mu.Lock()
-				pause := rng.ExpFloat64() * float64(l.cfg.Think) / l.load
+				pause := rng.ExpFloat64() * float64(l.cfg.ThinkTime) / l.load
 				l.mu.Unlock()
 				if time.Sleep(time.Duration(pause)); time.Now().After(end) {
 					return
@@ -191,7 +191,7 @@
 		at[fmt.Sprintf("s%d", i)] = i // its name in the simulation
 	}
 	rng := rand.New(rand.NewPCG(l.cfg.Seed, 7))
-	for i, a := range l.cfg.Played {
+	for i, a := range l.cfg.Arrivals {
 		class, known := classes[a.Class]
 		where, found := at[a.Slice]
 		if !known || !found || a.At >= l.cfg.Length {
@@ -215,7 +215,7 @@
 		draw -= classes[class].Share
 	}
 	slice := rng.IntN(len(l.fleet.Groups))
-	if v := l.cfg.Visits; v > 0 && v < len(l.fleet.Groups) {
+	if v := l.cfg.SlicesPerSession; v > 0 && v < len(l.fleet.Groups) {
 		slice = (home + rng.IntN(v)) % len(l.fleet.Groups)
 	}
 	l.issue(d, s, class, slice)
@@ -231,10 +231,10 @@
 		if call != nil {
 			l.rogue.repeatWrite(call)
 		}
-		if call == nil || call.Verdict != Refused || try+1 >= l.cfg.Tries {
+		if call == nil || call.Verdict != Refused || try+1 >= l.cfg.MaxTries {
 			break
 		}
-		wait := l.cfg.Pause
+		wait := l.cfg.RetryPause
 		if wait == 0 {
 			wait = call.RetryDelay
 		}
@@ -281,9 +281,9 @@
 
 // result converts the run to the simulation's result.
 func (l *live) result(r *Report) *world.Result {
-	res := &world.Result{Took: map[string]*hdrhistogram.Histogram{}, Causes: map[string]int{}, Tried: map[string]int{}, Struck: l.troublesStruck}
+	res := &world.Result{Latencies: map[string]*hdrhistogram.Histogram{}, Causes: map[string]int{}, Chances: map[string]int{}, Troubles: l.troublesStruck}
 	for _, rule := range r.Rules {
-		res.Tried[rule.Name] = rule.Chances
+		res.Chances[rule.Name] = rule.Chances
 		for _, b := range rule.Broken {
 			res.Broken = append(res.Broken, rule.Name+": "+b)
 		}
@@ -306,7 +306,7 @@
 	for _, g := range l.fleet.Groups {
 		for _, at := range g.Promotions() {
 			res.Promotions++
-			res.Noticed = append(res.Noticed, l.promotionLog.delays(g.Name, at)...)
+			res.PromotionDelays = append(res.PromotionDelays, l.promotionLog.delays(g.Name, at)...)
 		}
 	}
 	l.writeRows(calls, r)
@@ -325,9 +325,9 @@
 		(*sums)[i] += v
 	}
 	if c.Try == 0 {
-		window(&res.Asked, c.Sent, class.Value)
+		window(&res.OfferedValue, c.Sent, class.Value)
 	} else {
-		res.Again++
+		res.ClientRetries++
 	}
 	switch c.Verdict {
 	case Served:
@@ -338,11 +338,11 @@
 			res.InTarget++
 			value = class.Value
 		}
-		window(&res.Worth, c.Answered, value)
-		h := res.Took[c.Class.Name]
+		window(&res.Value, c.Answered, value)
+		h := res.Latencies[c.Class.Name]
 		if h == nil {
 			h = hdrhistogram.New(1, 60_000_000, 3)
-			res.Took[c.Class.Name] = h
+			res.Latencies[c.Class.Name] = h
 		}
 		h.RecordValue(max(1, took.Microseconds()))
 		if c.Class.Need != balance.NeedWrite && c.Served.GetRole() == pb.Role_ROLE_PRIMARY {
--- a/lab/live_test.go
+++ b/lab/live_test.go
@@ -12,9 +12,9 @@
 // shortWorld runs for a few seconds with a drain, a primary crash and a slow replica.
 func shortWorld(seed uint64) world.Config {
 	cfg := world.Newsroom(2, 1, 4, 90, 7*time.Second)
-	cfg.Seed, cfg.Cores, cfg.Work, cfg.Elect, cfg.Notice, cfg.Tries = seed, 1, 10*time.Millisecond, 500*time.Millisecond, 200*time.Millisecond, 2
+	cfg.Seed, cfg.Cores, cfg.Work, cfg.ElectionTime, cfg.ListDelay, cfg.MaxTries = seed, 1, 10*time.Millisecond, 500*time.Millisecond, 200*time.Millisecond, 2
 	cfg.Engine.Zones = []string{"a", "b"}
-	cfg.Cross = 2 * time.Millisecond
+	cfg.CrossZoneDelay = 2 * time.Millisecond
 	cfg.Gate = cfg.Admission()
 	place := world.Place{Slice: 0, Member: 2, Driver: -1}
 	cfg.Troubles = []world.Trouble{
@@ -34,7 +34,7 @@
 			}
 			t.Parallel()
 			cfg := shortWorld(31)
-			cfg.Plant, _ = world.PlantNamed(name)
+			cfg.Plant, _ = world.ParsePlant(name)
 			requests, served, attempts, broke := 0, 0, 0, 0
 			cfg.Record = func(r *record.Row) {
 				switch {
@@ -55,7 +55,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			found := strings.Count("\n"+strings.Join(r.Broken, "\n"), "\n"+cfg.Plant.Breaks()+":")
+			found := strings.Count("\n"+strings.Join(r.Broken, "\n"), "\n"+cfg.Plant.Rule()+":")
 			// Parallel runs share the process's goroutine count, so that breaks by it don't count here.
 			others := 0
 			for _, b := range r.Broken {
@@ -67,13 +67,13 @@
 			case cfg.Plant == world.NoPlant && others > 0:
 				t.Errorf("breaks without a planted fault: %v", r.Broken)
 			case cfg.Plant != world.NoPlant && found == 0:
-				t.Errorf("%q was not found among %v", cfg.Plant.Breaks(), r.Broken)
+				t.Errorf("%q was not found among %v", cfg.Plant.Rule(), r.Broken)
 			}
-			if requests != r.Requests || served != r.Served || attempts == 0 || served == 0 || r.Promotions != 1 || r.Struck != 3 {
+			if requests != r.Requests || served != r.Served || attempts == 0 || served == 0 || r.Promotions != 1 || r.Troubles != 3 {
 				t.Errorf("%d requests, %d served, %d attempts in rows; %+v", requests, served, attempts, r)
 			}
-			if cfg.Plant == world.NoPlant && len(r.Noticed) != cfg.Drivers || broke > 0 && cfg.Plant == world.NoPlant {
-				t.Errorf("%d drivers noticed the promotion, %d rows broke a rule", len(r.Noticed), broke)
+			if cfg.Plant == world.NoPlant && len(r.PromotionDelays) != cfg.Drivers || broke > 0 && cfg.Plant == world.NoPlant {
+				t.Errorf("%d drivers noticed the promotion, %d rows broke a rule", len(r.PromotionDelays), broke)
 			}
 		})
 	}
--- a/lab/livetrouble.go
+++ b/lab/livetrouble.go
@@ -24,7 +24,7 @@
 	switch t.Kind {
 	case world.TroubleCrash:
 		l.crash(l.nodeAt(t.Place, rng), t.For)
-	case world.TroubleSlow, world.TroubleStall, world.TroubleLag, world.TroubleFull, world.TroubleGreet, world.TroubleReap:
+	case world.TroubleSlow, world.TroubleStall, world.TroubleLag, world.TroubleConnLimit, world.TroubleSlowConnect, world.TroubleIdleDrop:
 		nodes := l.nodesAt(t.Place, rng)
 		for _, n := range nodes {
 			l.setTrouble(n, t, true)
@@ -33,19 +33,19 @@
 		for _, n := range nodes {
 			l.setTrouble(n, t, false)
 		}
-	case world.TroubleBad, world.TroubleHot:
+	case world.TroubleErrors, world.TroubleHotDriver:
 		share := &l.badShare
-		if t.Kind == world.TroubleHot {
+		if t.Kind == world.TroubleHotDriver {
 			share = &l.hotShare
 		}
 		share.Add(int64(1000 * t.Size))
 		l.sleep(t.For)
 		share.Add(-int64(1000 * t.Size))
-	case world.TroubleDeaf:
+	case world.TroubleListsHeld:
 		l.mu.Lock()
 		l.listDelayedUntil = time.Now().Add(t.For)
 		l.mu.Unlock()
-	case world.TroublePath, world.TroubleCut, world.TroubleLost:
+	case world.TroubleDelay, world.TroublePartition, world.TroubleLoss:
 		l.zoneTrouble(t, rng)
 	case world.TroubleRestart:
 		l.restartDriver(t, rng)
@@ -80,14 +80,14 @@
 		} else {
 			n.SlowReplay(size)
 		}
-	case world.TroubleFull, world.TroubleGreet, world.TroubleReap:
+	case world.TroubleConnLimit, world.TroubleSlowConnect, world.TroubleIdleDrop:
 		if !start {
 			size = 0
 		}
 		switch d := time.Duration(size * float64(time.Millisecond)); t.Kind {
-		case world.TroubleFull:
+		case world.TroubleConnLimit:
 			n.LimitConns(int(size))
-		case world.TroubleGreet:
+		case world.TroubleSlowConnect:
 			n.DelayConnect(d)
 		default:
 			n.LoseIdle(d)
@@ -139,7 +139,7 @@
 	n.Crash()
 	began := time.Now()
 	if wasPrimary {
-		l.sleep(l.cfg.Elect)
+		l.sleep(l.cfg.ElectionTime)
 		if next := g.MostAdvanced(); next != nil {
 			g.Promote(next)
 		}
@@ -161,7 +161,7 @@
 	l.mu.Lock()
 	delayed := time.Until(l.listDelayedUntil)
 	l.mu.Unlock()
-	l.sleep(max(l.cfg.Notice, delayed))
+	l.sleep(max(l.cfg.ListDelay, delayed))
 	l.fleet.UpdateNodes(func(e *settings.Node) {
 		if e.Name == n.Name {
 			e.Life = life
@@ -172,7 +172,7 @@
 // drainNode lists a node as draining and then as removed, kills it, restarts it cold and lists it as ready.
 func (l *live) drainNode(n *standin.Node, duration time.Duration) {
 	go func() { l.announce(n, balance.LifeDraining) }()
-	l.rogue.readDrained(n, l.cfg.Notice+l.fleet.Spec.Site.Grace, duration)
+	l.rogue.readDrained(n, l.cfg.ListDelay+l.fleet.Spec.Site.Grace, duration)
 	l.sleep(duration)
 	go func() { l.announce(n, balance.LifeRemoved) }()
 	n.Crash()
@@ -195,20 +195,20 @@
 
 // zoneTrouble changes the network between a zone and the others.
 func (l *live) zoneTrouble(t world.Trouble, rng *rand.Rand) {
-	zone := t.Place.Hall
+	zone := t.Place.Zone
 	if zone == "" {
 		zone = l.cfg.Engine.Zones[rng.IntN(len(l.cfg.Engine.Zones))]
 	}
-	extra, lost := time.Duration(t.Size*float64(max(l.cfg.Cross, l.cfg.Way))), t.Size
+	extra, lost := time.Duration(t.Size*float64(max(l.cfg.CrossZoneDelay, l.cfg.LinkDelay))), t.Size
 	change := func(sign float64) {
 		l.mu.Lock()
 		defer l.mu.Unlock()
 		switch p := l.zonePaths[zone]; t.Kind {
-		case world.TroublePath:
+		case world.TroubleDelay:
 			p.extra += time.Duration(sign * float64(extra))
-		case world.TroubleLost:
+		case world.TroubleLoss:
 			p.lost += sign * lost
-		case world.TroubleCut:
+		case world.TroublePartition:
 			if sign > 0 {
 				p.cutUntil = time.Now().Add(t.For)
 			}
--- a/lab/memory/memory.go
+++ b/lab/memory/memory.go
@@ -33,14 +33,14 @@
 
 // Spec describes the load that a driver must handle within its memory limit.
 type Spec struct {
-	Program string // path of the driver's executable
-	Limit   int    // memory limit in bytes
-	Streams int    // open idle client streams
-	Nodes   int    // nodes in the inventory; those beyond the reachable ones refuse connections
-	Reach   int    // reachable nodes
-	Slow    int    // clients that read large rows slowly
-	Crowd   int    // calls sent at once
-	Seed    uint64
+	Program        string // path of the driver's executable
+	MemoryLimit    int    // memory limit in bytes
+	Streams        int    // open idle client streams
+	Nodes          int    // nodes in the inventory; those beyond the reachable ones refuse connections
+	ReachableNodes int    // reachable nodes
+	SlowReaders    int    // clients that read large rows slowly
+	BurstCalls     int    // calls sent at once
+	Seed           uint64
 }
 
 // run is the state of one run.
@@ -80,16 +80,16 @@
 		return nil, err
 	}
 	all.Go(func() { m.runSteadyClient(ctx, pb.NewDriverClient(steady)) })
-	m.note("inventory of %d nodes, %d of them reachable", spec.Nodes, spec.Reach)
+	m.note("inventory of %d nodes, %d of them reachable", spec.Nodes, spec.ReachableNodes)
 	if err := m.openStreams(ctx, &all); err != nil {
 		return nil, err
 	}
 	m.note("%d open streams, %d refused", m.streams.Load(), m.streamsRefused.Load())
 	m.startSlowReaders(ctx, &all)
 	time.Sleep(3 * time.Second)
-	m.note("%d slow readers of rows of %d KiB, %d KiB read so far", spec.Slow, slowRowBytes>>10, m.slowBytes.Load()>>10)
+	m.note("%d slow readers of rows of %d KiB, %d KiB read so far", spec.SlowReaders, slowRowBytes>>10, m.slowBytes.Load()>>10)
 	m.burst(ctx)
-	m.note("%d calls at once: %d refused", spec.Crowd, m.burstRefused.Load())
+	m.note("%d calls at once: %d refused", spec.BurstCalls, m.burstRefused.Load())
 	after := m.awaitProgress()
 	m.note("after the burst the steady client received %d answers (last error: %v)", after, m.lastError.Load())
 	r := m.report(after)
@@ -141,11 +141,11 @@
 	var list strings.Builder
 	list.WriteString("name,host,port,slice,hall\n")
 	for i := range m.spec.Nodes {
-		if i%members == 0 && i < m.spec.Reach {
+		if i%members == 0 && i < m.spec.ReachableNodes {
 			m.groups = append(m.groups, standin.NewGroup(fmt.Sprintf("slice%d", i/members), time.Minute, trace))
 		}
 		host, port := fmt.Sprintf("127.%d.%d.%d", 1+i>>16, i>>8&255, i&255), "1"
-		if i < m.spec.Reach {
+		if i < m.spec.ReachableNodes {
 			n, err := m.groups[i/members].AddNode(fmt.Sprintf("db%d", i), "reykjavik-a", lab.SmallNode)
 			if err != nil {
 				return err
@@ -169,7 +169,7 @@
 	site := lab.NewsroomSite()
 	text := site.Settings() + fmt.Sprintf("hall reykjavik-a\nhere reykjavik-a\nlisten grpc %s\nrouters 1\ninventory %s\n"+
 		"admission {\n    memory %dMiB\n}\ntokens {\n    session-memory %dMiB\n}\n", m.addr, inventory,
-		m.spec.Limit>>20, m.spec.Limit>>25)
+		m.spec.MemoryLimit>>20, m.spec.MemoryLimit>>25)
 	if err := os.WriteFile(conf, []byte(text), 0o600); err != nil {
 		return err
 	}
@@ -272,7 +272,7 @@
 
 // startSlowReaders starts clients that read large rows, one row every half second.
 func (m *run) startSlowReaders(ctx context.Context, all *sync.WaitGroup) {
-	for i := range m.spec.Slow {
+	for i := range m.spec.SlowReaders {
 		c, err := m.dial()
 		if err != nil {
 			return
@@ -308,7 +308,7 @@
 		if err != nil {
 			return
 		}
-		for n := range m.spec.Crowd / conns {
+		for n := range m.spec.BurstCalls / conns {
 			all.Go(func() {
 				if m.read(ctx, pb.NewDriverClient(c), i+n) != nil {
 					m.burstRefused.Add(1)
@@ -331,10 +331,10 @@
 
 func (m *run) report(after int64) *lab.Report {
 	r := &lab.Report{Name: "memory", Seed: m.spec.Seed, Counts: map[lab.Verdict]int{lab.Served: int(m.steadyServed.Load()), lab.Refused: int(m.burstRefused.Load() + m.steadyFailed.Load())},
-		Faults: []string{fmt.Sprintf("%d streams asked for, %d slow readers, %d calls at once", m.spec.Streams, m.spec.Slow, m.spec.Crowd)}, Notes: m.notes}
+		Faults: []string{fmt.Sprintf("%d streams asked for, %d slow readers, %d calls at once", m.spec.Streams, m.spec.SlowReaders, m.spec.BurstCalls)}, Notes: m.notes}
 	bound := &lab.Rule{Name: "memory bounded", Chances: 1}
-	if m.peak.Load() > int64(m.spec.Limit) {
-		bound.Break("%d MiB were resident, %d are allowed", m.peak.Load()>>20, m.spec.Limit>>20)
+	if m.peak.Load() > int64(m.spec.MemoryLimit) {
+		bound.Break("%d MiB were resident, %d are allowed", m.peak.Load()>>20, m.spec.MemoryLimit>>20)
 	}
 	going := &lab.Rule{Name: "goes on", Chances: int(after)}
 	if after < minAnswers {
--- a/lab/overload.go
+++ b/lab/overload.go
@@ -52,17 +52,17 @@
 	return []*Rule{&s.goodput, &s.loadEnds, &s.simulatedRules}
 }
 
-func (s *simulated) check(l *world.Load) {
+func (s *simulated) check(l *world.OverloadResult) {
 	s.loadEnds.Chances++
-	if l.Late() {
+	if l.LoopLate() {
 		s.loadEnds.Break("simulated, the loop was late %d times: %v", l.Result.Overdue, l)
 	}
-	if !l.Settled() {
+	if !l.Recovered() {
 		s.loadEnds.Break("simulated, two seconds after its end: %v", l)
 	}
 	s.simulatedRules.Chances += l.Result.Requests
 	for _, b := range l.Result.Broken {
-		s.simulatedRules.Break("simulated, %.1f times the load: %s", l.Times, b)
+		s.simulatedRules.Break("simulated, %.1f times the load: %s", l.Factor, b)
 	}
 }
 
@@ -71,9 +71,9 @@
 	none, gate := arms[0], arms[len(arms)-1]
 	best := 0.0
 	var lines []string
-	var gated []*world.Load
+	var gated []*world.OverloadResult
 	play := func(arm world.Arm, times float64) error {
-		l, err := world.Under(seed, arm, times)
+		l, err := world.RunOverload(seed, arm, times)
 		if err != nil {
 			return err
 		}
@@ -96,23 +96,23 @@
 		}
 	}
 	for _, l := range gated {
-		if l.Times < 2 {
+		if l.Factor < 2 {
 			continue
 		}
 		if s.goodput.Chances++; l.During < 0.9*best {
 			s.goodput.Break("simulated, goodput is %.0f a second, the best is %.0f: %v", l.During, best, l)
 		}
 	}
-	ungated, err := world.Outage(seed, none, 0)
+	ungated, err := world.RunOutage(seed, none, 0)
 	if err != nil {
 		return nil, nil, err
 	}
-	budgeted, err := world.Outage(seed, gate, 0.1)
+	budgeted, err := world.RunOutage(seed, gate, 0.1)
 	if err != nil {
 		return nil, nil, err
 	}
 	s.check(budgeted)
-	s.harmShown = ungated.Late() || !ungated.Settled()
+	s.harmShown = ungated.LoopLate() || !ungated.Recovered()
 	lines = append(lines, fmt.Sprintf("simulated outage, no budgets: %v", ungated), fmt.Sprintf("simulated outage, budgets: %v", budgeted))
 	return s, lines, nil
 }
--- a/lab/replay.go
+++ b/lab/replay.go
@@ -89,7 +89,7 @@
 	}
 	extra := fmt.Sprintf("attempts limit %d\n", max(1, min(255, file.Allow.MaxAttempts)))
 	f, err := NewFleet(Spec{Site: file.site(), Zones: zones, Node: file.node(s), Drivers: min(replayDrivers, len(file.Balancers)),
-		Extra: extra, Seed: seed, Layout: p.layout()})
+		ExtraSettings: extra, Seed: seed, Layout: p.layout()})
 	if err != nil {
 		return nil, err
 	}
--- a/lab/soak/run.go
+++ b/lab/soak/run.go
@@ -381,7 +381,7 @@
 		connections := 0
 		r.log.update(func() { connections = r.log.openConns })
 		for _, m := range r.members {
-			connections += m.Open()
+			connections += m.OpenConns()
 		}
 		least = min(least, files-connections)
 	}
--- a/lab/soak/series.go
+++ b/lab/soak/series.go
@@ -17,7 +17,7 @@
 // Series runs a range of seeds, in parallel if configured, and sums up their results.
 type Series struct {
 	Program string
-	Keep    string
+	KeepDir string
 	Procs   int           // seeds run in parallel
 	For     time.Duration // no seed is started after this time; 0 for no limit
 	Out     io.Writer     // receives a line per seed
@@ -26,9 +26,9 @@
 	results []*Result
 }
 
-// Play runs the seeds from first to last and returns when all have ended or ctx ends. An error says that a seed could
+// Run runs the seeds from first to last and returns when all have ended or ctx ends. An error says that a seed could
 // not be run; the results so far are kept.
-func (s *Series) Play(ctx context.Context, first, last uint64) error {
+func (s *Series) Run(ctx context.Context, first, last uint64) error {
 	var end time.Time
 	if s.For > 0 {
 		end = time.Now().Add(s.For)
@@ -46,7 +46,7 @@
 
 // playSeed runs one seed. A run interrupted by ctx is no error and is not counted.
 func (s *Series) playSeed(ctx context.Context, seed uint64) error {
-	result, err := Run(ctx, Options{Program: s.Program, Seed: seed, KeepDir: s.Keep})
+	result, err := Run(ctx, Options{Program: s.Program, Seed: seed, KeepDir: s.KeepDir})
 	if ctx.Err() != nil {
 		return nil
 	}
--- a/lab/soak/soak_test.go
+++ b/lab/soak/soak_test.go
@@ -19,8 +19,8 @@
 	}
 	const first, last = 101, 116
 	var out bytes.Buffer
-	s := &Series{Program: program, Keep: t.TempDir(), Procs: 2, Out: &out}
-	if err := s.Play(t.Context(), first, last); err != nil {
+	s := &Series{Program: program, KeepDir: t.TempDir(), Procs: 2, Out: &out}
+	if err := s.Run(t.Context(), first, last); err != nil {
 		t.Fatal(err)
 	}
 	if s.Write(&out); s.Broken() > 0 || len(s.Results()) != last-first+1 {
--- a/lab/topology.go
+++ b/lab/topology.go
@@ -22,7 +22,7 @@
 // jumps, the link of one zone loses polls, and the list lacks the new primary.
 func Topology(seed uint64) (*Report, error) {
 	log := &topologyLog{}
-	d, err := startDay("topology", Spec{Slices: 3, Members: 4, Drivers: 3, Node: SmallNode, Seed: seed, Log: log.logger(), Extra: "tokens history on\n"}, 0x746f70)
+	d, err := startDay("topology", Spec{Slices: 3, Members: 4, Drivers: 3, Node: SmallNode, Seed: seed, Log: log.logger(), ExtraSettings: "tokens history on\n"}, 0x746f70)
 	if err != nil {
 		return nil, err
 	}
--- a/lab/world/arrivals.go
+++ b/lab/world/arrivals.go
@@ -31,7 +31,7 @@
 		for i := range sessions {
 			s := &sessions[i]
 			s.scheduleNext = func() {
-				pause := rng.ExpFloat64() * float64(w.cfg.Think) / w.loadFactor / w.cfg.Burst.factor(w.now-start, w.cfg.Burst.Load)
+				pause := rng.ExpFloat64() * float64(w.cfg.ThinkTime) / w.loadFactor / w.cfg.Burst.factor(w.now-start, w.cfg.Burst.Load)
 				w.schedule(w.now+time.Duration(pause), func() { w.nextRequest(h, rng, s) })
 			}
 			w.schedule(start+time.Second, s.scheduleNext)
@@ -62,7 +62,7 @@
 	for _, s := range w.slices {
 		byName[s.name] = s
 	}
-	for _, a := range w.cfg.Played {
+	for _, a := range w.cfg.Arrivals {
 		class, ok := classes[a.Class]
 		sl := byName[a.Slice]
 		if !ok || sl == nil || a.At >= w.cfg.Length {
--- a/lab/world/host.go
+++ b/lab/world/host.go
@@ -176,7 +176,7 @@
 func (h *host) recordPromotion(text string) {
 	for _, s := range h.w.slices {
 		if s.promotedAt > 0 && text == "primary of slice "+s.name+" is now "+s.primary.name {
-			h.w.result.Noticed = append(h.w.result.Noticed, h.w.now-s.promotedAt)
+			h.w.result.PromotionDelays = append(h.w.result.PromotionDelays, h.w.now-s.promotedAt)
 		}
 	}
 }
--- a/lab/world/newsroom.go
+++ b/lab/world/newsroom.go
@@ -13,8 +13,8 @@
 // Newsroom returns the configuration of the reference site: the users' three request classes and slices of four-core
 // nodes. The rate is in requests per second over all clients.
 func Newsroom(drivers, slices, members int, rate float64, length time.Duration) Config {
-	return Config{Seed: 1, Drivers: drivers, Slices: slices, Members: members, Rate: rate, Length: length, Cores: 4, Work: 50 * ms, Spread: 0.7,
-		Way: 500 * time.Microsecond, Ship: 6 * ms, Apply: 3 * ms, Shares: []float64{0.46, 0.40, 0.14}, Elect: 2 * time.Second, Downtime: 5 * time.Second, Keys: 20, Sessions: 50,
+	return Config{Seed: 1, Drivers: drivers, Slices: slices, Members: members, Rate: rate, Length: length, Cores: 4, Work: 50 * ms, WorkSigma: 0.7,
+		LinkDelay: 500 * time.Microsecond, ReplicationDelay: 6 * ms, ReplayTime: 3 * ms, Shares: []float64{0.46, 0.40, 0.14}, ElectionTime: 2 * time.Second, Downtime: 5 * time.Second, KeysPerSlice: 20, Sessions: 50,
 		Engine: driver.Config{Zones: []string{"a"}, MaxOpen: 20000, PoolSize: 64, IdleClose: 30 * time.Second, Linger: 10 * time.Second,
 			PollTimeout: 250 * ms, ClockAge: 50 * ms, StartWithin: time.Second, AnswerMargin: 20 * ms, SessionBytes: 1 << 20,
 			Router: balance.Config{Routers: drivers, MinBatchInterval: ms, Positions: true, DrainGrace: 500 * ms, AnswerSlack: 20 * ms, ColdFrom: 0.2,
--- a/lab/world/node.go
+++ b/lab/world/node.go
@@ -80,13 +80,13 @@
 	for s := range w.cfg.Slices {
 		sl := &slice{w: w, name: fmt.Sprintf("s%d", s), timeline: 1, lsn: 64, byKey: map[string][]commit{}}
 		for m := range w.cfg.Members {
-			n := &node{slice: sl, name: fmt.Sprintf("db%d-%d", s, m), links: map[*link]bool{}, timeline: 1, zone: w.zone(m), slowdown: 1, replaySlowdown: 1, cap: w.cfg.Cap, connectTime: w.cfg.Greet,
+			n := &node{slice: sl, name: fmt.Sprintf("db%d-%d", s, m), links: map[*link]bool{}, timeline: 1, zone: w.zone(m), slowdown: 1, replaySlowdown: 1, cap: w.cfg.MaxConnections, connectTime: w.cfg.ConnectTime,
 				applied: []commit{{lsn: 64, at: start}}}
-			if n.replayTime = w.cfg.Apply; m < len(w.cfg.Lags) {
-				n.replayTime = time.Duration(float64(n.replayTime) * w.cfg.Lags[m])
+			if n.replayTime = w.cfg.ReplayTime; m < len(w.cfg.ReplayFactors) {
+				n.replayTime = time.Duration(float64(n.replayTime) * w.cfg.ReplayFactors[m])
 			}
-			if n.drawWork = lognormal(w.cfg.Work, w.cfg.Spread, w.stream("work "+n.name)); w.cfg.Tail > 1 {
-				n.drawWork = pareto(w.cfg.Work, w.cfg.Tail, w.stream("work "+n.name))
+			if n.drawWork = lognormal(w.cfg.Work, w.cfg.WorkSigma, w.stream("work "+n.name)); w.cfg.TailIndex > 1 {
+				n.drawWork = pareto(w.cfg.Work, w.cfg.TailIndex, w.stream("work "+n.name))
 			}
 			sl.nodes, w.allNodes = append(sl.nodes, n), append(w.allNodes, n)
 			w.nodes[n.name] = n
@@ -225,7 +225,7 @@
 		if n == s.primary || n.down {
 			continue
 		}
-		n.replayFreeAt = max(n.replayFreeAt, w.now+w.cfg.Ship) + time.Duration(float64(n.replayTime)*n.replaySlowdown)
+		n.replayFreeAt = max(n.replayFreeAt, w.now+w.cfg.ReplicationDelay) + time.Duration(float64(n.replayTime)*n.replaySlowdown)
 		n.applied = append(n.applied, commit{lsn: s.lsn, at: n.replayFreeAt})
 		if len(n.applied) > 4096 {
 			n.applied = append(n.applied[:0:0], n.applied[len(n.applied)-2048:]...)
@@ -251,8 +251,8 @@
 				return
 			}
 			old.stop()
-			w.schedule(w.now+w.cfg.Elect, s.promote)
-			w.schedule(w.now+w.cfg.Elect+w.cfg.Downtime, func() {
+			w.schedule(w.now+w.cfg.ElectionTime, s.promote)
+			w.schedule(w.now+w.cfg.ElectionTime+w.cfg.Downtime, func() {
 				old.down, old.timeline = false, s.timeline
 				old.applied, old.replayFreeAt = []commit{{lsn: s.lsn, at: w.now}}, w.now
 			})
--- a/lab/world/overload.go
+++ b/lab/world/overload.go
@@ -24,10 +24,10 @@
 	}}, {"gate", (*Config).Admission}}
 }
 
-// Load is the result of an overload run with one arm. Before, During and After are in value per second.
-type Load struct {
+// OverloadResult is the result of an overload run with one arm. Before, During and After are in value per second.
+type OverloadResult struct {
 	Arm       string
-	Times     float64
+	Factor    float64
 	Before    float64 // before the load, during it, and in the last two seconds of the run
 	During    float64
 	After     float64
@@ -47,38 +47,38 @@
 // without a pause and an event loop that needs 100 us per event.
 func overloadConfig(seed uint64, arm Arm, b Burst) Config {
 	cfg := Newsroom(2, 1, 6, 400, runLength)
-	cfg.Seed, cfg.EventCost, cfg.Tries, cfg.Burst = seed, 100*time.Microsecond, 3, b
+	cfg.Seed, cfg.EventCost, cfg.MaxTries, cfg.Burst = seed, 100*time.Microsecond, 3, b
 	if arm.Gate != nil {
 		cfg.Gate = arm.Gate(&cfg)
 	}
 	return cfg
 }
 
-// Under simulates four seconds of load at a multiple of the usual rate.
-func Under(seed uint64, arm Arm, times float64) (*Load, error) {
+// RunOverload simulates four seconds of load at a multiple of the usual rate.
+func RunOverload(seed uint64, arm Arm, times float64) (*OverloadResult, error) {
 	return runLoad(overloadConfig(seed, arm, Burst{loadFrom, loadTo, times, 0}), arm, times)
 }
 
-// Outage simulates two seconds in which execution takes six times as long, with clients that retry every 2 ms until
+// RunOutage simulates two seconds in which execution takes six times as long, with clients that retry every 2 ms until
 // their deadline. As each refusal causes a further request, a driver can stay overloaded afterwards. The budget is
 // the number of retries that each request allows its client; 0 is no limit.
-func Outage(seed uint64, arm Arm, budget float64) (*Load, error) {
+func RunOutage(seed uint64, arm Arm, budget float64) (*OverloadResult, error) {
 	cfg := overloadConfig(seed, arm, Burst{loadFrom, loadFrom + 2*time.Second, 0, 6})
-	cfg.Tries, cfg.Pause, cfg.Budget, cfg.EventCost = 100, 2*time.Millisecond, budget, 300*time.Microsecond
+	cfg.MaxTries, cfg.RetryPause, cfg.RetryBudget, cfg.EventCost = 100, 2*time.Millisecond, budget, 300*time.Microsecond
 	cfg.Rate *= 1.1
 	return runLoad(cfg, arm, 1)
 }
 
-func runLoad(cfg Config, arm Arm, times float64) (*Load, error) {
+func runLoad(cfg Config, arm Arm, times float64) (*OverloadResult, error) {
 	r, err := Run(cfg)
 	if err != nil {
 		return nil, err
 	}
-	l := &Load{Arm: arm.Name, Times: times, Result: r, P99: map[string]time.Duration{}}
-	l.Before, l.During = valueRate(r.Worth, 2500*time.Millisecond, loadFrom), valueRate(r.Worth, cfg.Burst.From+500*time.Millisecond, cfg.Burst.To)
-	l.After = valueRate(r.Worth, runLength-2*time.Second, runLength)
-	l.recovered = valueRate(r.Worth, cfg.Burst.To+2*time.Second, runLength-time.Second) / valueRate(r.Asked, cfg.Burst.To+2*time.Second, runLength-time.Second)
-	for name, h := range r.Took {
+	l := &OverloadResult{Arm: arm.Name, Factor: times, Result: r, P99: map[string]time.Duration{}}
+	l.Before, l.During = valueRate(r.Value, 2500*time.Millisecond, loadFrom), valueRate(r.Value, cfg.Burst.From+500*time.Millisecond, cfg.Burst.To)
+	l.After = valueRate(r.Value, runLength-2*time.Second, runLength)
+	l.recovered = valueRate(r.Value, cfg.Burst.To+2*time.Second, runLength-time.Second) / valueRate(r.OfferedValue, cfg.Burst.To+2*time.Second, runLength-time.Second)
+	for name, h := range r.Latencies {
 		l.P99[name] = time.Duration(h.ValueAtQuantile(99)) * time.Microsecond
 	}
 	return l, nil
@@ -93,17 +93,17 @@
 }
 
 // String returns the result as one line of the report.
-func (l *Load) String() string {
+func (l *OverloadResult) String() string {
 	p99 := ""
 	for _, name := range slices.Sorted(maps.Keys(l.P99)) {
 		p99 += fmt.Sprintf(" %s %v", name, l.P99[name].Round(time.Millisecond))
 	}
 	return fmt.Sprintf("%4.1f times, %-7s worth a second %4.0f, under load %4.0f, at the end %4.0f (%.2f of what is asked for); served %d, refused %d, at the door %d, failed %d, overdue in the loop %d; p99%s",
-		l.Times, l.Arm, l.Before, l.During, l.After, l.recovered, l.Result.Served, l.Result.Refused, l.Result.Turned, l.Result.Failed, l.Result.Overdue, p99)
+		l.Factor, l.Arm, l.Before, l.During, l.After, l.recovered, l.Result.Served, l.Result.Refused, l.Result.NotAdmitted, l.Result.Failed, l.Result.Overdue, p99)
 }
 
-// Late reports whether the event loop missed the deadline of more than 20 requests, which call handlers answered.
-func (l *Load) Late() bool { return l.Result.Overdue > 20 }
+// LoopLate reports whether the event loop missed the deadline of more than 20 requests, which call handlers answered.
+func (l *OverloadResult) LoopLate() bool { return l.Result.Overdue > 20 }
 
-// Settled reports whether nine tenths of the offered value are earned from two seconds after the load.
-func (l *Load) Settled() bool { return l.recovered >= 0.9 }
+// Recovered reports whether nine tenths of the offered value are earned from two seconds after the load.
+func (l *OverloadResult) Recovered() bool { return l.recovered >= 0.9 }
--- a/lab/world/rules.go
+++ b/lab/world/rules.go
@@ -19,7 +19,7 @@
 func Rules() []string { return []string{RuleAnswer, RuleEffect, RuleDrain, RuleCold, RuleStale} }
 
 // countChance counts an occasion on which a rule could have been broken.
-func (w *World) countChance(rule string) { w.result.Tried[rule]++ }
+func (w *World) countChance(rule string) { w.result.Chances[rule]++ }
 
 // breakRule records that a request broke a rule.
 func (w *World) breakRule(q *request, rule, format string, args ...any) {
@@ -100,8 +100,8 @@
 // String returns the name used on the command line.
 func (p Plant) String() string { return plantNames[p] }
 
-// PlantNamed returns the planted fault with a name, and whether there is one.
-func PlantNamed(word string) (Plant, bool) {
+// ParsePlant returns the planted fault with a name, and whether there is one.
+func ParsePlant(word string) (Plant, bool) {
 	for i, name := range plantNames {
 		if name == word {
 			return Plant(i), true
@@ -113,8 +113,8 @@
 // PlantNames returns the names of all planted faults, "none" first.
 func PlantNames() []string { return plantNames[:] }
 
-// Breaks returns the name of the rule that the fault breaks, "" for NoPlant.
-func (p Plant) Breaks() string {
+// Rule returns the name of the rule that the fault breaks, "" for NoPlant.
+func (p Plant) Rule() string {
 	return [numPlants]string{"", RuleAnswer, RuleEffect, RuleDrain, RuleCold, RuleStale}[p]
 }
 
--- a/lab/world/rules_test.go
+++ b/lab/world/rules_test.go
@@ -11,7 +11,7 @@
 // troubledConfig is a short day with chances to break each rule.
 func troubledConfig(seed uint64) Config {
 	cfg := siteConfig(4, 3, 400, 14*time.Second)
-	cfg.Seed, cfg.Judge, cfg.Notice = seed, true, 200*ms
+	cfg.Seed, cfg.CheckSessions, cfg.ListDelay = seed, true, 200*ms
 	cfg.Engine.Zones = []string{"a", "b"}
 	cfg.Troubles = []Trouble{
 		{Kind: TroubleDrain, At: 3 * time.Second, For: 3 * time.Second, Place: Place{Slice: 0, Member: 2, Driver: -1}},
@@ -34,7 +34,7 @@
 			}
 			found := 0
 			for _, b := range r.Broken {
-				if p != NoPlant && strings.HasPrefix(b, p.Breaks()) {
+				if p != NoPlant && strings.HasPrefix(b, p.Rule()) {
 					found++
 				}
 			}
@@ -42,10 +42,10 @@
 			case p == NoPlant && len(r.Broken) > 0:
 				t.Errorf("seed %d, nothing planted: %v", cfg.Seed, r.Broken)
 			case p != NoPlant && found == 0:
-				t.Errorf("seed %d, %v planted: %q not found among %v", cfg.Seed, p, p.Breaks(), r.Broken)
+				t.Errorf("seed %d, %v planted: %q not found among %v", cfg.Seed, p, p.Rule(), r.Broken)
 			}
 			for _, rule := range Rules() {
-				if p == NoPlant && r.Tried[rule] == 0 {
+				if p == NoPlant && r.Chances[rule] == 0 {
 					t.Errorf("seed %d: %s had no chance to break", cfg.Seed, rule)
 				}
 			}
@@ -82,8 +82,8 @@
 	if r.Digest != plain.Digest {
 		t.Error("recording changed the digest of the run")
 	}
-	if starts != 2 || requests != r.Requests || served != r.Served || attempts < served || value < 0.999*sum(r.Worth) || value > 1.001*sum(r.Worth) {
-		t.Errorf("%d requests, %d served, %d attempts, value %.0f in rows; %d, %d, %.0f in the result", requests, served, attempts, value, r.Requests, r.Served, sum(r.Worth))
+	if starts != 2 || requests != r.Requests || served != r.Served || attempts < served || value < 0.999*sum(r.Value) || value > 1.001*sum(r.Value) {
+		t.Errorf("%d requests, %d served, %d attempts, value %.0f in rows; %d, %d, %.0f in the result", requests, served, attempts, value, r.Requests, r.Served, sum(r.Value))
 	}
 }
 
@@ -107,7 +107,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	cfg.Record, cfg.Played = nil, arrivals
+	cfg.Record, cfg.Arrivals = nil, arrivals
 	again, _ := Run(cfg)
 	if again.Requests < first.Requests*99/100 || again.Requests > first.Requests || again.Served < first.Served*9/10 {
 		t.Errorf("%d requests, %d served; again %d and %d", first.Requests, first.Served, again.Requests, again.Served)
@@ -117,7 +117,7 @@
 // TestClosedLoopReducesLoad checks that closed-loop sessions send fewer requests when answers are slow.
 func TestClosedLoopReducesLoad(t *testing.T) {
 	cfg := siteConfig(2, 1, 0, 20*time.Second)
-	cfg.Think, cfg.Sessions = 200*ms, 20
+	cfg.ThinkTime, cfg.Sessions = 200*ms, 20
 	calm, err := Run(cfg)
 	if err != nil {
 		t.Fatal(err)
@@ -132,7 +132,7 @@
 // TestConnectionLimit checks that nodes refuse connections beyond their limit and serve requests over the others.
 func TestConnectionLimit(t *testing.T) {
 	cfg := siteConfig(10, 1, 200, 10*time.Second)
-	cfg.Cap, cfg.Greet, cfg.Tail, cfg.Jitter = 24, 2*ms, 2.5, 0.5
+	cfg.MaxConnections, cfg.ConnectTime, cfg.TailIndex, cfg.Jitter = 24, 2*ms, 2.5, 0.5
 	r, err := Run(cfg)
 	if err != nil {
 		t.Fatal(err)
--- a/lab/world/storm_test.go
+++ b/lab/world/storm_test.go
@@ -15,7 +15,7 @@
 	for _, seed := range []uint64{1, 2} {
 		valueShare := func(drivers int) float64 {
 			cfg := Newsroom(drivers, 2, 6, 816, 7*time.Second)
-			cfg.Seed, cfg.Tries, cfg.Pause, cfg.Greet = seed, 4, 100*ms, 6*ms
+			cfg.Seed, cfg.MaxTries, cfg.RetryPause, cfg.ConnectTime = seed, 4, 100*ms, 6*ms
 			cfg.Engine.Router.ParallelAttempts, cfg.Engine.Router.AttemptLimit = true, 4
 			cfg.Engine.Router.MaxRetryAfter = 300 * ms
 			r, err := Run(cfg)
@@ -23,7 +23,7 @@
 				t.Fatal(err)
 			}
 			from, to := 2500*time.Millisecond, 6*time.Second
-			return valueRate(r.Worth, from, to) / valueRate(r.Asked, from, to)
+			return valueRate(r.Value, from, to) / valueRate(r.OfferedValue, from, to)
 		}
 		few, many := valueShare(20), valueShare(200)
 		t.Logf("seed %d: 20 drivers earn %.2f, 200 drivers %.2f of what is asked for", seed, few, many)
--- a/lab/world/trouble.go
+++ b/lab/world/trouble.go
@@ -28,7 +28,7 @@
 	Primary bool
 	Driver  int    // -1: drawn
 	All     bool   // all nodes, of the slice if one is set
-	Hall    string // for network troubles: traffic to and from this zone; "" is drawn
+	Zone    string // for network troubles: traffic to and from this zone; "" is drawn
 }
 
 // Anywhere is a Place of which everything is drawn.
@@ -39,24 +39,24 @@
 
 // The kinds of trouble. The comments describe Size where a kind has one.
 const (
-	TroubleCrash    TroubleKind = iota // a node crashes and restarts cold after For; a replica replaces a primary after the election time
-	TroubleSlow                        // execution at a node takes Size times as long
-	TroubleStall                       // a node processes nothing and keeps its connections
-	TroublePath                        // messages to and from a zone are delayed by Size times the delay between zones
-	TroubleCut                         // messages to and from a zone are held until the trouble ends
-	TroubleLost                        // a share Size of the messages to and from a zone are lost and close their connection
-	TroubleRestart                     // a driver is killed and restarts after For with only the cached node list
-	TroubleDrain                       // a node drains, is removed after For, and is added again, cold, after another For
-	TroubleUnlist                      // a node is missing from the node list
-	TroubleLoad                        // the arrival rate is Size times the usual one
-	TroubleLag                         // a replica needs Size times as long to replay a record
-	TroubleFull                        // a node accepts at most Size connections
-	TroubleGreet                       // a node needs Size milliseconds more to accept a connection, one at a time
-	TroubleDeaf                        // changes of the node list reach drivers only when the trouble ends
-	TroubleReap                        // connections to a node that were idle for Size milliseconds are dropped without an error
-	TroubleBad                         // a share Size of safe requests fail at any node with an error of their own
-	TroubleHot                         // a share Size of requests is redirected to the first driver
-	numTroubleKinds int         = iota
+	TroubleCrash       TroubleKind = iota // a node crashes and restarts cold after For; a replica replaces a primary after the election time
+	TroubleSlow                           // execution at a node takes Size times as long
+	TroubleStall                          // a node processes nothing and keeps its connections
+	TroubleDelay                          // messages to and from a zone are delayed by Size times the delay between zones
+	TroublePartition                      // messages to and from a zone are held until the trouble ends
+	TroubleLoss                           // a share Size of the messages to and from a zone are lost and close their connection
+	TroubleRestart                        // a driver is killed and restarts after For with only the cached node list
+	TroubleDrain                          // a node drains, is removed after For, and is added again, cold, after another For
+	TroubleUnlist                         // a node is missing from the node list
+	TroubleLoad                           // the arrival rate is Size times the usual one
+	TroubleLag                            // a replica needs Size times as long to replay a record
+	TroubleConnLimit                      // a node accepts at most Size connections
+	TroubleSlowConnect                    // a node needs Size milliseconds more to accept a connection, one at a time
+	TroubleListsHeld                      // changes of the node list reach drivers only when the trouble ends
+	TroubleIdleDrop                       // connections to a node that were idle for Size milliseconds are dropped without an error
+	TroubleErrors                         // a share Size of safe requests fail at any node with an error of their own
+	TroubleHotDriver                      // a share Size of requests is redirected to the first driver
+	numTroubleKinds    int         = iota
 )
 
 var troubleNames = [numTroubleKinds]string{"crash", "slow", "stall", "path", "cut", "lost", "restart", "drain", "unlist", "load", "lag", "full", "greet", "deaf", "reap", "bad", "hot"}
@@ -64,8 +64,8 @@
 // String returns the name used in experiment files.
 func (k TroubleKind) String() string { return troubleNames[k] }
 
-// TroubleNamed returns the kind with a name, and whether there is one.
-func TroubleNamed(word string) (TroubleKind, bool) {
+// ParseTroubleKind returns the kind with a name, and whether there is one.
+func ParseTroubleKind(word string) (TroubleKind, bool) {
 	i := slices.Index(troubleNames[:], word)
 	return TroubleKind(max(i, 0)), i >= 0
 }
@@ -73,10 +73,10 @@
 // TroubleNames returns the names of all kinds.
 func TroubleNames() []string { return troubleNames[:] }
 
-// Sized reports whether a kind has a Size.
-func (k TroubleKind) Sized() bool {
+// HasSize reports whether a kind has a Size.
+func (k TroubleKind) HasSize() bool {
 	switch k {
-	case TroubleSlow, TroublePath, TroubleLost, TroubleLoad, TroubleLag, TroubleFull, TroubleGreet, TroubleReap, TroubleBad, TroubleHot:
+	case TroubleSlow, TroubleDelay, TroubleLoss, TroubleLoad, TroubleLag, TroubleConnLimit, TroubleSlowConnect, TroubleIdleDrop, TroubleErrors, TroubleHotDriver:
 		return true
 	}
 	return false
@@ -103,13 +103,13 @@
 	switch t.Kind {
 	case TroubleCrash:
 		w.crash(w.nodeAt(t.Place, rng), t.For)
-	case TroubleSlow, TroubleStall, TroubleLag, TroubleFull, TroubleGreet, TroubleReap:
+	case TroubleSlow, TroubleStall, TroubleLag, TroubleConnLimit, TroubleSlowConnect, TroubleIdleDrop:
 		for _, n := range w.nodesAt(t.Place, rng) {
 			n.startTrouble(t, end)
 		}
-	case TroubleDeaf:
+	case TroubleListsHeld:
 		w.listsHeldUntil = max(w.listsHeldUntil, end)
-	case TroublePath, TroubleCut, TroubleLost:
+	case TroubleDelay, TroublePartition, TroubleLoss:
 		w.startPathTrouble(t, w.pathAt(t.Place, rng), end)
 	case TroubleRestart:
 		d := t.Place.Driver
@@ -133,28 +133,28 @@
 		n := w.nodeAt(t.Place, rng)
 		w.setLife(n, balance.LifeRemoved)
 		w.schedule(end, func() { w.setLife(n, balance.LifeReady) })
-	case TroubleBad:
+	case TroubleErrors:
 		w.failShare += t.Size
 		w.schedule(end, func() { w.failShare -= t.Size })
-	case TroubleHot:
+	case TroubleHotDriver:
 		w.hotShare += t.Size
 		w.schedule(end, func() { w.hotShare -= t.Size })
 	case TroubleLoad:
 		w.loadFactor *= t.Size
 		w.schedule(end, func() { w.loadFactor /= t.Size })
 	}
-	w.result.Struck++
+	w.result.Troubles++
 }
 
 func (w *World) startPathTrouble(t Trouble, p *path, end time.Duration) {
 	switch t.Kind {
-	case TroublePath:
+	case TroubleDelay:
 		extra := time.Duration(t.Size * float64(w.crossZoneDelay()))
 		p.extraDelay += extra
 		w.schedule(end, func() { p.extraDelay -= extra })
-	case TroubleCut:
+	case TroublePartition:
 		p.heldUntil = max(p.heldUntil, end)
-	case TroubleLost:
+	case TroubleLoss:
 		p.lossShare += t.Size
 		w.schedule(end, func() { p.lossShare -= t.Size })
 	}
@@ -172,15 +172,15 @@
 	case TroubleLag:
 		n.replaySlowdown *= t.Size
 		w.schedule(end, func() { n.replaySlowdown /= t.Size })
-	case TroubleFull:
+	case TroubleConnLimit:
 		previous := n.cap
 		n.cap = int(t.Size)
 		w.schedule(end, func() { n.cap = previous })
-	case TroubleReap:
+	case TroubleIdleDrop:
 		previous := n.idleLimit
 		n.idleLimit = time.Duration(t.Size * float64(time.Millisecond))
 		w.schedule(end, func() { n.idleLimit = previous })
-	case TroubleGreet:
+	case TroubleSlowConnect:
 		extra := time.Duration(t.Size * float64(time.Millisecond))
 		n.connectTime += extra
 		w.schedule(end, func() { n.connectTime -= extra })
@@ -213,14 +213,14 @@
 }
 
 func (w *World) pathAt(p Place, rng *rand.Rand) *path {
-	if p.Hall == "" {
-		p.Hall = w.cfg.Engine.Zones[rng.IntN(len(w.cfg.Engine.Zones))]
+	if p.Zone == "" {
+		p.Zone = w.cfg.Engine.Zones[rng.IntN(len(w.cfg.Engine.Zones))]
 	}
-	return w.paths[p.Hall]
+	return w.paths[p.Zone]
 }
 
 // crossZoneDelay returns the one-way network delay between zones.
-func (w *World) crossZoneDelay() time.Duration { return max(w.cfg.Cross, w.cfg.Way) }
+func (w *World) crossZoneDelay() time.Duration { return max(w.cfg.CrossZoneDelay, w.cfg.LinkDelay) }
 
 // delay returns the delay of a message sent now between a driver and a node; ok is false if it is lost and closes its
 // connection.
@@ -230,7 +230,7 @@
 		factor += w.cfg.Jitter * w.jitterRand.Float64()
 	}
 	if h.zone == n.zone {
-		return time.Duration(float64(w.cfg.Way) * factor), true
+		return time.Duration(float64(w.cfg.LinkDelay) * factor), true
 	}
 	delay, ok = time.Duration(float64(w.crossZoneDelay())*factor), true
 	for _, zone := range []string{h.zone, n.zone} {
@@ -271,8 +271,8 @@
 	}
 	n.stop()
 	if s := n.slice; s.primary == n {
-		w.schedule(w.now+w.cfg.Elect, s.promote)
-		down = max(down, w.cfg.Elect)
+		w.schedule(w.now+w.cfg.ElectionTime, s.promote)
+		down = max(down, w.cfg.ElectionTime)
 	}
 	w.schedule(w.now+down, n.restart)
 }
@@ -311,7 +311,7 @@
 func (h *host) notify() {
 	w := h.w
 	nodes, lives := w.nodeList(), w.nodeLives()
-	w.schedule(w.now+w.cfg.Notice, func() {
+	w.schedule(w.now+w.cfg.ListDelay, func() {
 		switch {
 		case w.now < w.listsHeldUntil:
 			w.schedule(w.listsHeldUntil, h.deliverCurrentList)
--- a/lab/world/world.go
+++ b/lab/world/world.go
@@ -28,49 +28,49 @@
 
 // Config describes a simulated site and its load. Times are simulated time.
 type Config struct {
-	Seed     uint64
-	Drivers  int
-	Slices   int
-	Members  int     // nodes of a slice, the primary among them
-	Rate     float64 // requests per second over all clients
-	Length   time.Duration
-	Cores    int
-	Work     time.Duration // mean execution time of a request on a core
-	Spread   float64       // standard deviation of the logarithm of the execution time
-	Way      time.Duration // one-way network delay between driver and node in one zone
-	Cross    time.Duration // one-way network delay between zones; at least the delay within a zone
-	Notice   time.Duration // from a change of the node list until drivers are notified
-	Troubles []Trouble
-	Ship     time.Duration // replication delay until a replica has received a log record
-	Apply    time.Duration // time a replica needs to replay one log record
-	Engine   driver.Config // its classes are drawn by Shares
-	Shares   []float64     // share of each class in the requests
-	Crashes  int           // number of primary crashes
-	Elect    time.Duration // from a primary's crash to the promotion of a replica
-	Downtime time.Duration // from that promotion to the restart of the crashed node
-	Lags     []float64     // by member, factor on the time to replay a record; 1 for members beyond its end
-	Sessions int           // client sessions per driver
-	Visits   int           // slices that one session uses; 0 for all
-	Keys     int           // keys per slice
-	Late     bool          // half of the reads take their data at the end of execution, as volatile functions do
-	Judge    bool          // check session guarantees after the run; needs memory for each request
-	Keep     Keep          // which tokens sessions keep
-
-	Gate      *admission.Config // admission control of each driver; nil for none
-	EventCost time.Duration     // time a driver's event loop needs per event
-	Burst     Burst
-	Tries     int           // most tries of a client for one request, the first included
-	Pause     time.Duration // before a further try; 0: the advised retry-after time, or none if none was advised
-	Budget    float64       // further tries that each first try allows a client; 0 for no limit
-
-	Tail   float64           // index of a Pareto distribution of execution time, above 1; 0 for lognormal
-	Cap    int               // most connections a node accepts; 0 for no limit
-	Greet  time.Duration     // time a node needs to accept a connection, one at a time
-	Jitter float64           // most additional network delay, as a share of the delay
-	Think  time.Duration     // mean think time between an answer and the session's next request; 0 for open-loop arrivals
-	Played []record.Arrival  // recorded arrivals to replay; none: arrivals are drawn
-	Plant  Plant             // fault to inject, which the judged rules must detect
-	Record func(*record.Row) // receives a row for each request and attempt; nil for none
+	Seed             uint64
+	Drivers          int
+	Slices           int
+	Members          int     // nodes of a slice, the primary among them
+	Rate             float64 // requests per second over all clients
+	Length           time.Duration
+	Cores            int
+	Work             time.Duration // mean execution time of a request on a core
+	WorkSigma        float64       // standard deviation of the logarithm of the execution time
+	LinkDelay        time.Duration // one-way network delay between driver and node in one zone
+	CrossZoneDelay   time.Duration // one-way network delay between zones; at least the delay within a zone
+	ListDelay        time.Duration // from a change of the node list until drivers are notified
+	Troubles         []Trouble
+	ReplicationDelay time.Duration // replication delay until a replica has received a log record
+	ReplayTime       time.Duration // time a replica needs to replay one log record
+	Engine           driver.Config // its classes are drawn by Shares
+	Shares           []float64     // share of each class in the requests
+	Crashes          int           // number of primary crashes
+	ElectionTime     time.Duration // from a primary's crash to the promotion of a replica
+	Downtime         time.Duration // from that promotion to the restart of the crashed node
+	ReplayFactors    []float64     // by member, factor on the time to replay a record; 1 for members beyond its end
+	Sessions         int           // client sessions per driver
+	SlicesPerSession int           // slices that one session uses; 0 for all
+	KeysPerSlice     int           // keys per slice
+	LateReads        bool          // half of the reads take their data at the end of execution, as volatile functions do
+	CheckSessions    bool          // check session guarantees after the run; needs memory for each request
+	TokenPolicy      TokenPolicy   // which tokens sessions keep
+
+	Gate        *admission.Config // admission control of each driver; nil for none
+	EventCost   time.Duration     // time a driver's event loop needs per event
+	Burst       Burst
+	MaxTries    int           // most tries of a client for one request, the first included
+	RetryPause  time.Duration // before a further try; 0: the advised retry-after time, or none if none was advised
+	RetryBudget float64       // further tries that each first try allows a client; 0 for no limit
+
+	TailIndex      float64           // index of a Pareto distribution of execution time, above 1; 0 for lognormal
+	MaxConnections int               // most connections a node accepts; 0 for no limit
+	ConnectTime    time.Duration     // time a node needs to accept a connection, one at a time
+	Jitter         float64           // most additional network delay, as a share of the delay
+	ThinkTime      time.Duration     // mean think time between an answer and the session's next request; 0 for open-loop arrivals
+	Arrivals       []record.Arrival  // recorded arrivals to replay; none: arrivals are drawn
+	Plant          Plant             // fault to inject, which the judged rules must detect
+	Record         func(*record.Row) // receives a row for each request and attempt; nil for none
 }
 
 // Burst multiplies the arrival rate and the execution time of requests during an interval.
@@ -87,43 +87,43 @@
 	return by
 }
 
-// Keep selects the tokens that sessions keep.
-type Keep uint8
+// TokenPolicy selects the tokens that sessions keep.
+type TokenPolicy uint8
 
 // The tokens that sessions can keep.
 const (
-	KeepAll    Keep = iota // the token of each answer
-	KeepLower              // of a read, the log position from before it: an injected fault
-	KeepWrites             // of writes only, so that reads are not monotonic
+	KeepAllTokens   TokenPolicy = iota // the token of each answer
+	KeepLowerTokens                    // of a read, the log position from before it: an injected fault
+	KeepWriteTokens                    // of writes only, so that reads are not monotonic
 )
 
 // Result holds the counts, value and broken rules of a run.
 type Result struct {
-	Requests, Served, Refused, Failed int
-	InTarget                          int                                // served within the class's latency target
-	AtPrimary                         int                                // reads served by the primary
-	OwnReads, OwnAtPrimary            int                                // reads served to sessions with a token of the slice, and those of them served by the primary
-	Chances                           int                                // chances to break a session guarantee
-	Turned                            int                                // refused by admission control
-	Again                             int                                // further tries of clients
-	Causes                            map[string]int                     // refusals and failures by class and cause
-	Struck                            int                                // troubles that began
-	Orphaned                          int                                // requests pending in drivers that were killed
-	Overdue                           int                                // answered by call handlers at the deadline because the event loop was late
-	Noticed                           []time.Duration                    // from a promotion until a driver logged the new primary, one per driver and promotion
-	Worth                             []float64                          // value earned in each interval of length Window
-	Asked                             []float64                          // value of the requests whose first try was in each interval
-	Took                              map[string]*hdrhistogram.Histogram // latency of served requests by class, in microseconds
-	Attempts                          int
-	Polls                             int
-	Events                            int // events processed by all engines
-	Steps                             int
-	Promotions                        int
-	Broken                            []string       // broken rules, one line each, at most 100
-	Digest                            uint64         // hash over all answers in order
-	Tried                             map[string]int // chances to break each rule, by rule
-	GuardedWrites                     int            // writes stopped by a node's guard
-	RefusedConnections                int            // connections refused by nodes at their limit
+	Requests, Served, Refused, Failed   int
+	InTarget                            int                                // served within the class's latency target
+	AtPrimary                           int                                // reads served by the primary
+	SessionReads, SessionReadsAtPrimary int                                // reads served to sessions with a token of the slice, and those of them served by the primary
+	SessionChances                      int                                // chances to break a session guarantee
+	NotAdmitted                         int                                // refused by admission control
+	ClientRetries                       int                                // further tries of clients
+	Causes                              map[string]int                     // refusals and failures by class and cause
+	Troubles                            int                                // troubles that began
+	Orphaned                            int                                // requests pending in drivers that were killed
+	Overdue                             int                                // answered by call handlers at the deadline because the event loop was late
+	PromotionDelays                     []time.Duration                    // from a promotion until a driver logged the new primary, one per driver and promotion
+	Value                               []float64                          // value earned in each interval of length Window
+	OfferedValue                        []float64                          // value of the requests whose first try was in each interval
+	Latencies                           map[string]*hdrhistogram.Histogram // latency of served requests by class, in microseconds
+	Attempts                            int
+	Polls                               int
+	Events                              int // events processed by all engines
+	Steps                               int
+	Promotions                          int
+	Broken                              []string       // broken rules, one line each, at most 100
+	Digest                              uint64         // hash over all answers in order
+	Chances                             map[string]int // chances to break each rule, by rule
+	GuardedWrites                       int            // writes stopped by a node's guard
+	RefusedConnections                  int            // connections refused by nodes at their limit
 }
 
 // World is the state of one simulation run.
@@ -174,7 +174,7 @@
 	for _, zone := range cfg.Engine.Zones {
 		w.paths[zone] = &path{}
 	}
-	w.result.Took, w.result.Causes, w.result.Tried = map[string]*hdrhistogram.Histogram{}, map[string]int{}, map[string]int{}
+	w.result.Latencies, w.result.Causes, w.result.Chances = map[string]*hdrhistogram.Histogram{}, map[string]int{}, map[string]int{}
 	w.build()
 	for d := range cfg.Drivers {
 		h, err := w.newHost(d)
@@ -271,10 +271,10 @@
 // takes place.
 func (w *World) startArrivals() {
 	switch {
-	case len(w.cfg.Played) > 0:
+	case len(w.cfg.Arrivals) > 0:
 		w.replayArrivals()
 		return
-	case w.cfg.Think > 0:
+	case w.cfg.ThinkTime > 0:
 		w.startClosedLoop()
 		return
 	}
@@ -310,17 +310,17 @@
 	for ; class < len(w.cfg.Shares)-1 && draw >= w.cfg.Shares[class]; class++ {
 		draw -= w.cfg.Shares[class]
 	}
-	w.newRequest(h, rng, s, class, w.slices[s.pickSlice(rng, len(w.slices), w.cfg.Visits)])
+	w.newRequest(h, rng, s, class, w.slices[s.pickSlice(rng, len(w.slices), w.cfg.SlicesPerSession)])
 }
 
 // newRequest creates a session's request and submits it.
 func (w *World) newRequest(h *host, rng *rand.Rand, s *session, class int, sl *slice) {
-	s.retryBudget = min(s.retryBudget+w.cfg.Budget, 10)
+	s.retryBudget = min(s.retryBudget+w.cfg.RetryBudget, 10)
 	c := &w.cfg.Engine.Router.Classes[class]
 	w.lastRequest++
 	q := &request{id: w.lastRequest, class: class, slice: sl, session: s, arrived: w.now, deadline: w.now + c.Deadline, host: h, firstSent: w.now}
-	w.addValue(&w.result.Asked, c.Value)
-	q.key, q.lateRead = fmt.Sprintf("k%d", rng.IntN(max(1, w.cfg.Keys))), w.cfg.Late && rng.IntN(2) == 0
+	w.addValue(&w.result.OfferedValue, c.Value)
+	q.key, q.lateRead = fmt.Sprintf("k%d", rng.IntN(max(1, w.cfg.KeysPerSlice))), w.cfg.LateReads && rng.IntN(2) == 0
 	if w.failShare > 0 && c.Effect == balance.Safe {
 		q.faulty = rng.Float64() < w.failShare
 	}
@@ -349,7 +349,7 @@
 	if g := q.host.gate; g != nil {
 		t, v := g.Admit(w.now, admission.Request{Client: q.session.name, Slice: q.slice.name, Class: q.class, Bytes: 200, Attempt: q.try})
 		if v.Reason != admission.Admitted {
-			w.result.Turned++
+			w.result.NotAdmitted++
 			delete(w.pending, q.id)
 			w.countChance(RuleAnswer)
 			w.recordRows(q, &driver.Answer{Status: driver.Refused}, "front door: "+v.Reason.String(), 0)
@@ -390,21 +390,21 @@
 // retry schedules a further try of a refused request and returns true, unless the number of tries, the deadline or
 // the retry budget forbids it.
 func (w *World) retry(q *request, advice time.Duration) bool {
-	s, wait := q.session, w.cfg.Pause
+	s, wait := q.session, w.cfg.RetryPause
 	if wait == 0 {
 		wait = advice
 	}
 	at := w.now + max(wait, time.Microsecond)
-	if q.try+1 >= w.cfg.Tries || at >= q.deadline {
+	if q.try+1 >= w.cfg.MaxTries || at >= q.deadline {
 		return false
 	}
-	if w.cfg.Budget > 0 {
+	if w.cfg.RetryBudget > 0 {
 		if s.retryBudget < 1 {
 			return false
 		}
 		s.retryBudget--
 	}
-	w.result.Again++
+	w.result.ClientRetries++
 	w.schedule(at, func() {
 		to := w.runningDriver(q.host)
 		if to == nil {
@@ -493,11 +493,11 @@
 	if q.faulty {
 		value = 0 // the answer is its own error
 	}
-	w.addValue(&w.result.Worth, value)
-	h := w.result.Took[c.Name]
+	w.addValue(&w.result.Value, value)
+	h := w.result.Latencies[c.Name]
 	if h == nil {
 		h = hdrhistogram.New(1, 60_000_000, 3)
-		w.result.Took[c.Name] = h
+		w.result.Latencies[c.Name] = h
 	}
 	h.RecordValue((w.now - q.arrived).Microseconds())
 	if c.Need == balance.NeedWrite {
@@ -510,15 +510,15 @@
 	}
 	if c.Need == balance.NeedSession {
 		if !q.need.IsZero() {
-			w.result.OwnReads++
+			w.result.SessionReads++
 			if !a.Facts.Replica {
-				w.result.OwnAtPrimary++
+				w.result.SessionReadsAtPrimary++
 			}
 		}
-		switch w.cfg.Keep {
-		case KeepAll:
+		switch w.cfg.TokenPolicy {
+		case KeepAllTokens:
 			q.session.addToken(q, a.Token)
-		case KeepLower:
+		case KeepLowerTokens:
 			q.session.addToken(q, a.LowerBound)
 		}
 	}
@@ -547,14 +547,14 @@
 // recordOp adds an answered request to the history as an operation on a key.
 func (w *World) recordOp(a *driver.Answer, q *request) {
 	c := &w.cfg.Engine.Router.Classes[q.class]
-	if !w.cfg.Judge {
+	if !w.cfg.CheckSessions {
 		return
 	}
-	op := history.Op{ID: q.name(), Session: q.session.name, Slice: q.slice.name, Key: q.key, Begin: q.arrived, End: w.now, Carries: q.covered}
+	op := history.Op{ID: q.name(), Session: q.session.name, Slice: q.slice.name, Key: q.key, Begin: q.arrived, End: w.now, Covered: q.covered}
 	switch {
 	case c.Need == balance.NeedWrite:
 		op.Kind, op.Value = history.Write, q.name()
-		op.Ended = [...]history.End{driver.Served: history.Served, driver.Refused: history.Refused, driver.Failed: history.Unknown}[a.Status]
+		op.Outcome = [...]history.Outcome{driver.Served: history.Served, driver.Refused: history.Refused, driver.Failed: history.Unknown}[a.Status]
 	case a.Status != driver.Served:
 		return
 	default:
@@ -566,7 +566,7 @@
 
 // checkSessions checks the history for broken session guarantees.
 func (w *World) checkSessions() {
-	if !w.cfg.Judge {
+	if !w.cfg.CheckSessions {
 		return
 	}
 	for _, s := range w.slices {
@@ -578,7 +578,7 @@
 		}
 	}
 	for _, r := range history.Check(&w.history) {
-		w.result.Chances += r.Chances
+		w.result.SessionChances += r.Chances
 		for i := range r.Broken {
 			w.addBroken(RuleStale+": %s: %s", r.Name, &r.Broken[i])
 		}
--- a/lab/world/world_test.go
+++ b/lab/world/world_test.go
@@ -56,16 +56,16 @@
 	found := 0
 	for seed := range uint64(10) {
 		cfg := siteConfig(2, 2, 160, 20*time.Second)
-		cfg.Seed, cfg.Crashes, cfg.Judge, cfg.Late = seed, 2, true, true
-		cfg.Sessions, cfg.Keys, cfg.Apply, cfg.Lags = 2, 1, 3*ms, []float64{1, 10, 25, 40, 60, 80}
+		cfg.Seed, cfg.Crashes, cfg.CheckSessions, cfg.LateReads = seed, 2, true, true
+		cfg.Sessions, cfg.KeysPerSlice, cfg.ReplayTime, cfg.ReplayFactors = 2, 1, 3*ms, []float64{1, 10, 25, 40, 60, 80}
 		r, err := Run(cfg)
 		if err != nil || len(r.Broken) > 0 {
 			t.Fatalf("seed %d: %v, %v", seed, err, r.Broken)
 		}
-		if r.Chances < 500 || r.OwnReads-r.OwnAtPrimary < 30 {
-			t.Errorf("seed %d: %d chances, %d own reads at replicas", seed, r.Chances, r.OwnReads-r.OwnAtPrimary)
+		if r.SessionChances < 500 || r.SessionReads-r.SessionReadsAtPrimary < 30 {
+			t.Errorf("seed %d: %d chances, %d own reads at replicas", seed, r.SessionChances, r.SessionReads-r.SessionReadsAtPrimary)
 		}
-		cfg.Keep = KeepLower
+		cfg.TokenPolicy = KeepLowerTokens
 		if r, _ = Run(cfg); len(r.Broken) > 0 {
 			found++
 		}
@@ -106,23 +106,23 @@
 // misses many deadlines without gate and retry budget, and does not with them.
 func TestGateHolds(t *testing.T) {
 	arms := Arms()
-	none, err := Under(3, arms[0], 10)
+	none, err := RunOverload(3, arms[0], 10)
 	if err != nil {
 		t.Fatal(err)
 	}
-	gate, err := Under(3, arms[2], 10)
+	gate, err := RunOverload(3, arms[2], 10)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if gate.During < 0.9*none.During || !gate.Settled() || len(gate.Result.Broken) > 0 {
+	if gate.During < 0.9*none.During || !gate.Recovered() || len(gate.Result.Broken) > 0 {
 		t.Errorf("%v\n%v\n%v", gate, none, gate.Result.Broken)
 	}
-	if through := gate.Result.Requests - gate.Result.Turned; through*3 > none.Result.Requests {
+	if through := gate.Result.Requests - gate.Result.NotAdmitted; through*3 > none.Result.Requests {
 		t.Errorf("%d of %d requests reach the module", through, none.Result.Requests)
 	}
-	without, _ := Outage(3, arms[0], 0)
-	with, _ := Outage(3, arms[2], 0.1)
-	if !without.Late() || with.Late() || !with.Settled() || len(without.Result.Broken)+len(with.Result.Broken) > 0 {
+	without, _ := RunOutage(3, arms[0], 0)
+	with, _ := RunOutage(3, arms[2], 0.1)
+	if !without.LoopLate() || with.LoopLate() || !with.Recovered() || len(without.Result.Broken)+len(with.Result.Broken) > 0 {
 		t.Errorf("%v: %v\n%v: %v", without, without.Result.Broken, with, with.Result.Broken)
 	}
 }
@@ -141,13 +141,13 @@
 				if err != nil {
 					b.Fatal(err)
 				}
-				slices.Sort(r.Noticed)
-				if len(r.Noticed) < drivers {
-					b.Fatalf("%d of %d drivers noticed", len(r.Noticed), drivers)
+				slices.Sort(r.PromotionDelays)
+				if len(r.PromotionDelays) < drivers {
+					b.Fatalf("%d of %d drivers noticed", len(r.PromotionDelays), drivers)
 				}
 				b.ReportMetric(float64(r.Polls)/6/30, "polls/node/s") // the run continues for ten seconds after the last request
-				b.ReportMetric(r.Noticed[len(r.Noticed)/2].Seconds(), "s-median")
-				b.ReportMetric(r.Noticed[len(r.Noticed)-1].Seconds(), "s-last")
+				b.ReportMetric(r.PromotionDelays[len(r.PromotionDelays)/2].Seconds(), "s-median")
+				b.ReportMetric(r.PromotionDelays[len(r.PromotionDelays)-1].Seconds(), "s-last")
 				b.ReportMetric(float64(r.Served)/float64(r.Requests), "served")
 				b.ReportMetric(0, "ns/op")
 			}
--- a/server/bench_test.go
+++ b/server/bench_test.go
@@ -114,7 +114,7 @@
 // againstRelay measures with nodes that are queried for their facts, or that report them as parameters.
 func againstRelay(b *testing.B, params bool) {
 	cfg := standin.Config{Cores: 64, MaxConns: 1000, ColdFrom: 1, RampTime: time.Second, ReportParameters: params}
-	f, err := lab.NewFleet(lab.Spec{Slices: 1, Members: 3, Drivers: 1, Node: cfg, Extra: "pool size 256\n"})
+	f, err := lab.NewFleet(lab.Spec{Slices: 1, Members: 3, Drivers: 1, Node: cfg, ExtraSettings: "pool size 256\n"})
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -175,7 +175,7 @@
 //	go test ./server -run '^$' -bench Refusal -benchtime 1x
 func BenchmarkRefusal(b *testing.B) {
 	cfg := standin.Config{Cores: 64, MaxConns: 1000, ColdFrom: 1, RampTime: time.Second}
-	f, err := lab.NewFleet(lab.Spec{Slices: 1, Members: 3, Drivers: 2, Node: cfg, Extra: "admission {\n    start 1\n    least 1\n}\n"})
+	f, err := lab.NewFleet(lab.Spec{Slices: 1, Members: 3, Drivers: 2, Node: cfg, ExtraSettings: "admission {\n    start 1\n    least 1\n}\n"})
 	if err != nil {
 		b.Fatal(err)
 	}
--- a/server/follow_test.go
+++ b/server/follow_test.go
@@ -58,7 +58,7 @@
 	dir := t.TempDir()
 	socket := filepath.Join(dir, "control")
 	path := filepath.Join(dir, "nodes.yaml")
-	f := newFleet(t, lab.Spec{Members: 4, Dir: dir, Extra: "state control " + socket + "\n"})
+	f := newFleet(t, lab.Spec{Members: 4, Dir: dir, ExtraSettings: "state control " + socket + "\n"})
 	must(t, f, writeReq("a", "one"))
 	text, err := os.ReadFile(path)
 	if err != nil {
--- a/server/server_test.go
+++ b/server/server_test.go
@@ -163,7 +163,7 @@
 }
 
 func TestStreaming(t *testing.T) {
-	f := newFleet(t, lab.Spec{Extra: "pool max-result 64KiB\n"})
+	f := newFleet(t, lab.Spec{ExtraSettings: "pool max-result 64KiB\n"})
 	series := func(class string, n int64) *pb.ExecuteRequest {
 		return &pb.ExecuteRequest{Slice: "slice0", Class: class, Statement: "select n from generate_series(1, $1) where $2 <> ''",
 			Parameters: []*pb.Value{{Kind: &pb.Value_IntValue{IntValue: n}}, text("m")}}
@@ -222,7 +222,7 @@
 // TestStopAnswersPendingRequests: after Stop (the effect of SIGTERM) pending requests are answered, new ones are
 // refused, and the driver ends in time.
 func TestStopAnswersPendingRequests(t *testing.T) {
-	f := newFleet(t, lab.Spec{Extra: ""})
+	f := newFleet(t, lab.Spec{ExtraSettings: ""})
 	must(t, f, writeReq("a", "first"))
 	p := f.Groups[0].Primary()
 	p.Slow(100)
@@ -396,7 +396,7 @@
 	cfg.Password = "leyndarmál"
 	path := t.TempDir() + "/password"
 	write(t, path, cfg.Password+"\n", 0o600)
-	f := newFleet(t, lab.Spec{Node: cfg, Extra: "pool password-file " + path + "\n"})
+	f := newFleet(t, lab.Spec{Node: cfg, ExtraSettings: "pool password-file " + path + "\n"})
 	must(t, f, writeReq("a", "one"))
 	write(t, path+"2", cfg.Password, 0o644)
 	s, err := f.Settings(f.Drivers[0])
@@ -481,7 +481,7 @@
 func TestFloodIsRefusedAtAdmission(t *testing.T) {
 	node := lab.SmallNode
 	node.Read = 20 * time.Millisecond
-	f := newFleet(t, lab.Spec{Node: node, Extra: "admission {\n    start 16\n}\n"})
+	f := newFleet(t, lab.Spec{Node: node, ExtraSettings: "admission {\n    start 16\n}\n"})
 	must(t, f, writeReq("a", "one"))
 	call := func(client string) error {
 		ctx, cancel := context.WithTimeout(metadata.AppendToOutgoingContext(t.Context(), propagation.ClientKey, client), 5*time.Second)
@@ -554,7 +554,7 @@
 // TestClientThatDoesNotRead: the streamed answer of a client that does not read ends after the stall time, and its
 // node connection is free again. Slow clients that do read are not affected.
 func TestClientThatDoesNotRead(t *testing.T) {
-	f := newFleet(t, lab.Spec{Extra: "admission {\n    stall 300ms\n}\n"})
+	f := newFleet(t, lab.Spec{ExtraSettings: "admission {\n    stall 300ms\n}\n"})
 	readsInFlight := func() (n int) {
 		for _, s := range f.Trace.Statements() {
 			if s.Kind == standin.KindRead && s.Ran && s.Ended.IsZero() {
--- a/server/topology_test.go
+++ b/server/topology_test.go
@@ -45,7 +45,7 @@
 func TestTopologyOverControlSocket(t *testing.T) {
 	dir := t.TempDir()
 	socket := filepath.Join(dir, "control")
-	f := newFleet(t, lab.Spec{Members: 2, Extra: "state dir " + dir + "\nstate control " + socket + "\n"})
+	f := newFleet(t, lab.Spec{Members: 2, ExtraSettings: "state dir " + dir + "\nstate control " + socket + "\n"})
 	g := f.Groups[0]
 	until(t, "the primary is known", func() bool {
 		tp, _ := topologyOf(t, socket, "GET", "/topology")
@@ -108,7 +108,7 @@
 func TestCommandAnswersShowTheirEffect(t *testing.T) {
 	dir := t.TempDir()
 	socket := filepath.Join(dir, "control")
-	f := newFleet(t, lab.Spec{Members: 3, Extra: "state dir " + dir + "\nstate control " + socket + "\n"})
+	f := newFleet(t, lab.Spec{Members: 3, ExtraSettings: "state dir " + dir + "\nstate control " + socket + "\n"})
 	until(t, "the primary is known", func() bool {
 		tp, _ := topologyOf(t, socket, "GET", "/topology")
 		return len(tp.Slices) == 1 && tp.Slices[0].Primary != ""
@@ -137,7 +137,7 @@
 	if err := os.WriteFile(filepath.Join(dir, "topology.last"), []byte("umbtop\x00\x01 and no more"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	f := newFleet(t, lab.Spec{Members: 2, Extra: "state dir " + dir + "\n"})
+	f := newFleet(t, lab.Spec{Members: 2, ExtraSettings: "state dir " + dir + "\n"})
 	until(t, "a write goes through", func() bool {
 		_, err := f.Drivers[0].Client().Execute(context.Background(), writeTo(f.Groups[0].Name))
 		return err == nil
--- a/standin/catalog/member.go
+++ b/standin/catalog/member.go
@@ -140,8 +140,8 @@
 	}
 }
 
-// Open returns the number of open connections.
-func (m *Member) Open() int {
+// OpenConns returns the number of open connections.
+func (m *Member) OpenConns() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return len(m.conns)
