--- a/balance/api.go
+++ b/balance/api.go
@@ -59,7 +59,7 @@
 	Effect    Effect
 	Scope     Scope
 	Need      Need
-	Target    time.Duration // answers within it earn the full Worth
+	Target    time.Duration // answers within it earn the full Value
 	Deadline  time.Duration // how long a client waits, over all attempts
 	Window    time.Duration // how long repeats of a keyed request are discarded
 	Bound     time.Duration // greatest age of the data for NeedBounded
@@ -69,17 +69,18 @@
 
 // Config is the configuration of a router. It does not change after New.
 type Config struct {
-	Classes              []Class
-	Zone                 int           // the router's own availability zone
-	Routers              int           // number of routers in front of the same servers, 0 if unknown
-	MinBatchInterval     time.Duration // least time between two batches of events, at least 1 ms
-	Origin               time.Duration // clock time of position 0
-	Positions            bool          // answers carry log positions
-	LagPolicy            LagPolicy     // what replicas do with reads for which they lag too far behind
-	CatchUpWait          time.Duration // how long a replica waits with LagWait
-	RouterTokens         bool          // a session's writes are tracked by this router's answers, not by Event.SinceWrite
-	SubscribeToList      bool          // the server list is delivered only after ActionSubscribe
-	SubscribeWithin      time.Duration // with SubscribeToList: a router without a subscription for so long counts as notified of changes
+	Classes          []Class
+	Zone             int           // the router's own availability zone
+	Routers          int           // number of routers in front of the same servers, 0 if unknown
+	MinBatchInterval time.Duration // least time between two batches of events; raised to 1 ms if less
+	Origin           time.Duration // clock time of position 0
+	Positions        bool          // answers carry log positions
+	LagPolicy        LagPolicy     // what replicas do with reads for which they lag too far behind
+	CatchUpWait      time.Duration // how long a replica waits with LagWait
+	RouterTokens     bool          // a session's writes are tracked by this router's answers, not by Event.SinceWrite
+	SubscribeToList  bool          // the server list is delivered only after ActionSubscribe
+	// With SubscribeToList: a router without a subscription for this long counts as notified of all changes.
+	SubscribeWithin      time.Duration
 	DrainGrace           time.Duration // how long after a drain was listed requests may still be sent; 0 for not at all
 	SoftRemoval          bool          // only servers listed as draining are taken out of use, not those missing from a list
 	AnswerSlack          time.Duration // how long after the deadline a final answer is still accepted
@@ -93,12 +94,13 @@
 	AttemptLimit         int           // most attempts of a request, the first included; below 1 counts as 1
 	RetryAfter           bool          // ActionReject may carry a delay after which to retry
 	MaxRetryAfter        time.Duration // longest such delay that clients follow
-	DialTimeout          time.Duration // limit of the driver's attempts to connect, then OutcomeConnectFailed; for information
+	DialTimeout          time.Duration // limit of the driver's dials, then OutcomeConnectFailed; for information
 	ListShowsRole        bool          // list entries show the role, with a delay; for information
 }
 
-// AssumeCheckedConns declares that the driver checks each connection right before it sends an attempt on it, so that a missing
-// answer is no evidence of a dropped connection. It depends on the driver, not on settings, and must be called before the first Step.
+// AssumeCheckedConns declares that the driver checks each connection right before it sends an attempt on it, so that
+// a missing answer is no evidence of a dropped connection. This depends on the driver, not on settings, and
+// AssumeCheckedConns must be called before the first Step.
 func (r *Router) AssumeCheckedConns() { r.connsChecked = true }
 
 // Role is the role that a server reports of itself.
@@ -114,7 +116,8 @@
 // Outcome is how an attempt or a poll ended.
 type Outcome uint8
 
-// The outcomes. After Full, ConnectFailed, Moot and Miss nothing ran; after the others the request may have run.
+// The outcomes of attempts and polls. After OutcomeFull, OutcomeConnectFailed, OutcomeUnsent and OutcomeMiss nothing
+// ran; after the others the request may have run.
 const (
 	OutcomeError         Outcome = iota // the server answered with an error
 	OutcomeOK                           // the server answered
@@ -163,7 +166,8 @@
 	ListFailed                 // a list request or the subscription failed; without entries
 )
 
-// Report is a server's own report of its role and position. It is as old as the answer that carried it.
+// Report is a server's own report of its role and position. It may be older than the answer that carries it; of
+// two reports the one with the higher position is newer.
 type Report struct {
 	Valid       bool          // the report has any content
 	HasPosition bool          // Position is set
@@ -191,7 +195,7 @@
 	Kind       EventKind
 	List       ListKind
 	Outcome    Outcome
-	Role       Role
+	Role       Role // the server's role in an answer
 	Settled    bool // the client has its final answer
 	Request    RequestID
 	Server     ServerID
@@ -213,11 +217,11 @@
 
 // The kinds of actions, with the fields of Action that each uses.
 const (
-	ActionSend       ActionKind = iota // send Request to Server; a request's attempts are counted from 0 in order of these actions
+	ActionSend       ActionKind = iota // send Request to Server; these actions number a request's attempts from 0
 	ActionWithdraw                     // cancel Attempt of Request
-	ActionReject                       // final answer: refused, and a retry is harmless, after After
-	ActionFail                         // final answer: failed, and the request may have run
-	ActionPoll                         // ask Server for a report
+	ActionReject                       // final answer: refused; a retry after After is harmless
+	ActionFail                         // final answer: failed; the request may have run or may still run
+	ActionPoll                         // query Server for a report
 	ActionTimer                        // deliver an EventTimer with Token in After
 	ActionSubscribe                    // subscribe to the server list and its changes
 	ActionDisconnect                   // close the idle connections to Server
@@ -231,7 +235,7 @@
 	Server  ServerID
 	Attempt int
 	Token   uint64
-	// ActionTry: time-out, 0 for the client's deadline; ActionReject: delay before a retry, 0 for none;
+	// ActionSend: time-out, 0 for the client's deadline. ActionReject: delay before a retry, 0 for none.
 	// ActionTimer: delay.
 	After time.Duration
 	Text  string
--- a/balance/balance.go
+++ b/balance/balance.go
@@ -1,7 +1,7 @@
 // Package balance decides which server gets a request, when servers are polled, and which requests are
-// retried, held or shed, for groups of one primary and its replicas. In go batches of events: server lists,
-// requests, outcomes of attempts and polls, and timers. Out come actions for the caller to carry out in
-// order; the callers are the front ends' drivers, which own the sockets and the clock.
+// retried, held or shed, for groups of one primary and its replicas. Its input is batches of events: server
+// lists, requests, outcomes of attempts and polls, and timers. Its output is actions that the caller carries
+// out in order; the callers are the front ends' drivers, which own the sockets and the clock.
 //
 // The ordinary path follows "Ratis - A Redis Proxy"; the steps named in comments are those of that paper, and
 // docs/design.md lists each deviation. This file holds every decision and constant, api.go the types of
@@ -18,20 +18,20 @@
 	"time"
 )
 
-// Loads and limits are in requests, shares and factors are fractions. Where a load is that of all routers,
-// each router takes its part of it (see routerShare).
+// Loads and limits are in requests; shares, factors and weights have no unit. Of a load that is stated for all
+// routers, each router may cause its part (see routerShare).
 const (
 	failureLimit       = 2    // consecutive failed polls that make a server unavailable (step 1)
 	pollJitter         = 0.4  // random part of a poll's wait, in poll intervals (step 1)
 	pollCap            = 5    // longest wait between polls, in poll intervals (step 1)
-	pollersPerInterval = 4    // routers that may poll a server within one interval; more of them poll less often
+	pollersPerInterval = 4    // routers that may poll a server within one interval; with more routers each polls less often
 	expeditedPolls     = 2    // polls expedited for a read whose freshness no reported position proves
 	totalStartLimit    = 16.0 // pending requests of all routers at a server of unknown capacity
-	paceDecrease       = 0.8  // factor of the pace after a refusal for lack of capacity or a time-out
-	paceIncrease       = 0.1  // relative growth of the pace for each answer in time
+	paceDecrease       = 0.8  // factor of the pace after a refusal for lack of capacity, a time-out or a late answer
+	paceIncrease       = 0.1  // relative growth of the pace for each answer in less than nearTargetShare of its target
 	lossWeight         = 0.15 // weight of a new answer in the mean loss rate
-	totalMinPace       = 7.0  // load of all routers below which the pace does not fall
-	limitDecrease      = 0.9  // factor of a server's limit after an answer near its target
+	totalMinPace       = 7.0  // least sum of the paces of all routers
+	limitDecrease      = 0.9  // factor of a server's limit after an answer near or beyond its target
 	limitIncrease      = 0.05 // greatest relative growth of a limit for one answer
 	overloadDecrease   = 0.6  // factor of a server's limit after a refusal for lack of capacity or a time-out
 	nearTargetShare    = 0.5  // share of the target latency beyond which an answer counts as near it
@@ -56,31 +56,34 @@
 	actions   []Action // result of the current Step
 	servers   map[ServerID]*server
 	groups    map[int]*group
-	order     []*group               // groups in the order in which they were first mentioned
-	open      map[RequestID]*request // unanswered requests, and answered ones with pending attempts
-	polls     timeIndex[*server]     // members without a poll in flight, by the time of their next poll
-	sweeps    timeIndex[*group]      // groups with waiting requests, by the time of their next sweep
-	arrivals  uint64                 // requests so far
-	due       []*server              // buffer of sendDuePolls
-	held, all []*request             // buffers of sweep
-	sweeping  []*group               // buffer of sweep
-	sessions  map[uint64]time.Duration
-	writes    map[uint64]int // pending attempts of each session's writes
-	// The newest commit among the sessions that were evicted.
+	order     []*group                 // groups in the order in which they were first mentioned
+	open      map[RequestID]*request   // unanswered requests, and answered ones with pending attempts
+	polls     timeIndex[*server]       // members without a poll in flight, by the time of their next poll
+	sweeps    timeIndex[*group]        // groups with waiting requests, by the time of their next sweep
+	arrivals  uint64                   // requests so far
+	due       []*server                // buffer of sendDuePolls
+	held, all []*request               // buffers of sweep
+	sweeping  []*group                 // buffer of sweep
+	sessions  map[uint64]time.Duration // newest commit of each session, as a clock time
+	writes    map[uint64]int           // pending attempts of each session's writes
+	// The newest commit among the sessions that were evicted, as a clock time.
 	sessionFloor time.Duration
 	retryBudget  float64 // further attempts that may still be sent
-	// Time between polls: while requests wait for a server, and while answers make polls unnecessary.
+	// pollInterval is the time between polls while requests wait for a primary or polls fail; idleInterval, the time
+	// between other polls, is longer with more than pollersPerInterval routers.
 	pollInterval, idleInterval time.Duration
-	// Connections idle for longer count as dropped; the time of that observation.
+	// Connections idle for idleCutoff or longer count as dropped (0: none do); idleCutoffAt is the time of that
+	// observation.
 	idleCutoff, idleCutoffAt time.Duration
 	connLimitedUntil         time.Duration // until then servers are assumed to accept few connections
-	// A change may let held requests be sent; connections are checked before each use.
+	// sweepNeeded: something changed that may let held requests be sent. connsChecked: see AssumeCheckedConns.
 	sweepNeeded, connsChecked bool
 
-	// The least time between sweeps; the last sweep; the last eviction of sessions; when to subscribe to the
-	// list; when the pending timer fires, 0 for none.
+	// sweepInterval is the least time between sweeps that no change calls for, lastSweep the time of the last sweep,
+	// lastPrune that of the last eviction of sessions, subscribeAt when to subscribe to the list, and timerAt when the
+	// pending timer fires, 0 for none.
 	sweepInterval, lastSweep, lastPrune, subscribeAt, timerAt time.Duration
-	// Sequence number of sends, by which servers take turns; token of the newest timer.
+	// turn is the sequence number of sends, by which servers take turns; token is that of the newest timer.
 	turn, token uint64
 }
 
@@ -91,7 +94,8 @@
 	sweepSlot timeSlot[*group]
 	dirty     bool    // something changed since the group's last sweep
 	primary   *server // named by the newest poll or answer; nil if unknown
-	// As of when the primary was named; when the newest poll that confirmed it was sent.
+	// claimedAt is the clock time as of which the primary was named; confirmedAt is when the newest poll that
+	// confirmed the primary was sent.
 	claimedAt, confirmedAt time.Duration
 	latency                float64 // mean latency of answers, in ns
 	pools                  [3]pool // of the primary's own requests, of reads, and of reads that fall back to the primary
@@ -121,26 +125,27 @@
 	zone      int
 	life      Life
 	lifeSince time.Duration // when the list last changed life
-	// Start of its process: as listed, and as assumed after an outage.
+	// Start of the server's process: as listed, and as assumed after an outage.
 	started, assumedStart time.Duration
-	// The highest reported position and when it was reported.
+	// The highest reported position, as a clock time, and when it was reported.
 	position, positionAt time.Duration
-	deniedAt             time.Duration // as of when it last reported that it is not the primary
-	drained              bool          // it was listed as draining before it was removed
-	// It answered a poll since its last failure; a poll is in flight.
+	deniedAt             time.Duration // as of when the server last reported that it is not the primary
+	drained              bool          // the server was listed as draining before it was removed
+	// polled: the server answered a poll since its last failure. polling: a poll is in flight.
 	polled, polling bool
-	// Since the last answered poll a connection broke, or none could be opened.
+	// Since the last answered poll a connection broke (connReset), or none could be opened (dialFailed).
 	connReset, dialFailed bool
 	polledAt, nextPoll    time.Duration // when the last poll was sent, and when the next is due
 	pending               []pendingAttempt
-	// When its limit was last reduced, when it last answered a request, and when a request last timed out there;
-	// 0 once it has answered again.
+	// reducedAt is when the limit was last reduced, answeredAt when the server last answered a request, and
+	// unansweredAt when a request last timed out there, 0 if the server has answered since.
 	reducedAt, answeredAt, unansweredAt time.Duration
-	// When it last answered a poll, and the send time of the newest attempt that it answered.
+	// When the server last answered a poll, and the send time of the newest attempt that it answered.
 	pollAnsweredAt, newestAnswered time.Duration
 	// Consecutive failed polls, and connections that are believed to be open.
 	failedPolls, conns int
-	// Pending requests allowed, and requests that may be sent while the server is cold.
+	// limit is the number of pending requests allowed; coldCredit is the number of requests that may be sent while
+	// the server is cold.
 	limit, coldCredit float64
 	turn              uint64 // Router.turn of its last request; the lowest is next
 }
@@ -152,21 +157,23 @@
 	group             *group
 	key               uint64
 	arrived, deadline time.Duration
-	minPosition       time.Duration // position that a session read must observe
-	// Attempts sent, attempts pending, and polls expedited for it.
+	minPosition       time.Duration // position that a session read must observe, as a clock time
+	// Attempts sent, attempts pending, and polls expedited for the request.
 	sends, pending, expedited int
 	mayHaveRun                bool          // an attempt that has ended may have run
 	windowStart               time.Duration // send of the first attempt that may have run
 	zone                      int           // of that attempt's server
 	primaryAfter              time.Duration // only a poll sent later may name the primary
 	lastServer                *server
-	// When polls were last expedited for it, and when its last attempt was sent.
+	// When polls were last expedited for the request, and when its last attempt was sent.
 	expeditedAt, lastSent time.Duration
-	// It is counted in the pool of reads at the primary, and in the credit of a cold primary.
+	// fallback: the request counts in the pool of reads at the primary. coldCounted: it earned credit for a cold
+	// primary.
 	fallback, coldCounted bool
 
-	// Its last attempt was withdrawn; a replica lagged too far behind; its last attempt was refused for lack of
-	// capacity; its answer is being streamed; it is answered or aborted.
+	// withdrawn: the last attempt was withdrawn. missed: an attempt ended with OutcomeMiss. refusedFull: the last
+	// attempt that ended without running was refused for lack of capacity. streamed: the answer is being streamed to
+	// the client. done: the request is answered or aborted.
 	withdrawn, missed, refusedFull, streamed, done bool
 }
 
@@ -200,7 +207,8 @@
 }
 
 // Step handles a batch of events that all happened at now and returns actions with the resulting ones appended
-// in the order in which they are to be carried out. A now before that of the last call counts as the latter.
+// in the order in which they are to be carried out. It never blocks. If now is before that of the last call, the
+// last call's now applies.
 func (r *Router) Step(now time.Duration, events []Event, actions []Action) []Action {
 	r.now, r.actions = max(now, r.now), actions
 	for i := range events {
@@ -242,7 +250,7 @@
 // repeat it at once.
 func (r *Router) onList(e *Event) {
 	if e.List == ListFailed && r.cfg.SubscribeToList {
-		r.log("list out of reach, asking again")
+		r.log("server list unavailable; subscribing again")
 		r.subscribeAt = r.now + r.jitter(r.cfg.SubscribeWithin/5)
 	}
 	if e.List == ListFailed {
@@ -264,7 +272,7 @@
 	r.sweepNeeded = true
 }
 
-// markDirty makes the next sweep consider the group's requests, as something changed that may decide one.
+// markDirty makes the next sweep consider the group's requests, after a change that may let one be sent or ended.
 func (r *Router) markDirty(g *group) {
 	if g.dirty = true; len(g.queue) > 0 {
 		r.sweeps.set(&g.sweepSlot, math.MinInt64)
@@ -278,8 +286,8 @@
 	}
 }
 
-// applyEntry adds or updates a listed server. A server that started since then is cold again, and one that was
-// removed after a drain returns only with a newer start.
+// applyEntry adds or updates a listed server. A server with a newer start than known is cold again; one that
+// was removed after a drain returns only with a newer start.
 func (r *Router) applyEntry(e *Entry) {
 	s := r.servers[e.Server]
 	if s != nil && s.drained && e.Started > s.started {
@@ -291,7 +299,7 @@
 		return
 	case s == nil:
 		s = &server{id: e.Server, group: r.groupOf(e.Group), coldCredit: r.rng.Float64(), limit: r.startLimit(),
-			polled: !r.cfg.Probing, turn: r.rng.Uint64N(r.turn)} // random, so that not all routers begin at the same server
+			polled: !r.cfg.Probing, turn: r.rng.Uint64N(r.turn)} // random turn, so that routers begin at different servers
 		s.timer.item = s
 		r.pollAt(s, r.now+time.Duration(r.rng.Float64()*float64(r.idleInterval-r.pollInterval)))
 		r.servers[s.id] = s
@@ -347,7 +355,7 @@
 }
 
 // sendDuePolls subscribes to the list and sends the polls that are due (step 1); it returns when the next
-// of them is due.
+// poll or subscription is due.
 func (r *Router) sendDuePolls() time.Duration {
 	if r.now >= r.subscribeAt {
 		r.actions = append(r.actions, Action{Kind: ActionSubscribe})
@@ -377,7 +385,7 @@
 	r.actions = append(r.actions, Action{Kind: ActionPoll, Server: s.id})
 }
 
-// onPoll takes the result of a poll and schedules the next one, with backoff after failures (step 1).
+// onPoll handles the result of a poll and schedules the next one, with backoff after failures (step 1).
 // Consecutive failures make the server unavailable until it answers a poll.
 func (r *Router) onPoll(e *Event) {
 	s := r.servers[e.Server]
@@ -385,8 +393,8 @@
 		return
 	}
 	if s.polling = false; e.Outcome == OutcomeOK {
-		// After an apparent restart the server starts slowly without waiting for the list, which comes late. A broken
-		// connection is no evidence of a restart, nor are many within a short time.
+		// After an apparent restart the server starts slowly without waiting for the list, which is delayed. A broken
+		// connection alone is no evidence of a restart, nor are many within a short time.
 		if outage := s.failedPolls >= failureLimit || s.connReset && s.failedPolls > 0; outage &&
 			r.now-max(s.pollAnsweredAt, s.answeredAt) > pollCap*r.pollInterval {
 			s.assumedStart, s.limit, s.coldCredit = r.now, r.startLimit(), r.rng.Float64()
@@ -420,8 +428,8 @@
 		return
 	case rep.HasRole && rep.Primary:
 		r.claimPrimary(s, at)
-	case rep.HasRole && s.group.primary == s && at >= s.group.claimedAt: // a deposed primary may stay at the position of its claim
-		s.group.primary = nil
+	case rep.HasRole && s.group.primary == s && at >= s.group.claimedAt:
+		s.group.primary = nil // at claimedAt too: a deposed primary may stay at the position of its claim
 	}
 	s.advancePosition(at, r.now)
 }
@@ -451,7 +459,8 @@
 	case RolePrimary:
 		r.claimPrimary(s, at)
 	case RoleReplica:
-		// It was not the primary at some time since the send; positions in answers are truncated to milliseconds.
+		// It was not the primary at some time since the send; positions in answers, truncated to milliseconds, may
+		// seem older.
 		if at = max(at, r.now-e.Age); e.Outcome == OutcomeMiss && write {
 			at = r.now
 		}
@@ -564,8 +573,8 @@
 	idle := r.now - s.answeredAt
 	if s.answeredAt == 0 || len(s.pending) > 0 {
 		return 0
-	} else if r.idleCutoff == 0 || idle < r.idleCutoff || r.now-r.idleCutoffAt > observationTTL { // an older observation no longer counts
-		return idle
+	} else if r.idleCutoff == 0 || idle < r.idleCutoff || r.now-r.idleCutoffAt > observationTTL {
+		return idle // too short to be dropped, or the observation is too old to count
 	}
 	r.actions = append(r.actions, Action{Kind: ActionDisconnect, Server: s.id})
 	s.conns = 0
@@ -616,7 +625,8 @@
 func (r *Router) pick(q *request) *server {
 	p := q.group.primary
 	if q.class.Need <= NeedFresh {
-		if p == nil && !r.cfg.Probing && q.class.Need == NeedWrite { // without polls only a miss finds the primary, and a miss runs nothing
+		if p == nil && !r.cfg.Probing && q.class.Need == NeedWrite {
+			// Without polls only a miss finds the primary, and a miss runs nothing.
 			p = r.bestReplica(q, func(*server, *request) bool { return true })
 		}
 		if p == nil || q.leavesScope(p) || q.group.confirmedAt < q.primaryAfter && r.cfg.Probing || !r.accepts(p, q) {
@@ -652,11 +662,12 @@
 // admits reports whether another first attempt may be sent (load shedding).
 func (p *pool) admits() bool { return p.pace >= 1 || p.allowance >= 1 }
 
-// expediteForRead sends expedited polls for a read that no reported position suits, and reports whether one is in
-// flight. Guards against needless fallback to the primary: with many routers, polls and answers are too rare to
-// prove freshness. If reports are older than the bound, the read reaches the primary one poll later.
+// expediteForRead sends expedited polls for a read that no reported position satisfies, and reports whether one of
+// them or a member's first poll is in flight. Guards against needless fallback to the primary: with many routers,
+// polls and answers are too rare to prove freshness. If reports are older than the bound, the read reaches the
+// primary one poll later.
 func (r *Router) expediteForRead(q *request) bool {
-	firstPollPending := func(s *server) bool { return s.positionAt == 0 && s.failedPolls == 0 } // its first poll is unanswered
+	firstPollPending := func(s *server) bool { return s.positionAt == 0 && s.failedPolls == 0 }
 	if !r.cfg.Probing || slices.ContainsFunc(q.group.members, firstPollPending) {
 		return r.cfg.Probing
 	} else if r.cfg.LagPolicy != LagServe || q.class.Need == NeedAny {
@@ -678,7 +689,7 @@
 
 // compareServers orders servers by preference: fewest pending requests, then an idle connection, as a new one
 // costs the server work, then round robin. Servers with a recent time-out come last (outlier detection). While
-// servers refuse connections, those with open ones come first, so that a router with few requests opens no more.
+// servers refuse connections, those with an idle one come first, so that a router with few requests opens no more.
 func (r *Router) compareServers(a, b *server) int {
 	if r.now < r.connLimitedUntil {
 		return cmp.Or(cmp.Compare(b.idleConns(), a.idleConns()), cmp.Compare(b.answeredAt, a.answeredAt))
@@ -696,7 +707,7 @@
 	return s.idleConns()
 }
 
-// penaltyLeft is how long a server is still passed over because a request timed out there (outlier detection);
+// penaltyLeft is how long a server still ranks last because a request timed out there (outlier detection);
 // an answer ends it.
 func (r *Router) penaltyLeft(s *server) time.Duration {
 	return max(0, s.unansweredAt+observationTTL-r.now)
@@ -750,8 +761,8 @@
 		r.now-s.lifeSince < r.cfg.DrainGrace-2*r.cfg.MinBatchInterval
 }
 
-// hasCapacity reports whether a server may have one more pending request (concurrency limit). While connections
-// are scarce, a request waits for one in use rather than open another.
+// hasCapacity reports whether a server may have one more pending request (concurrency limit). While servers
+// accept few connections, a request waits for one in use rather than open another.
 func (r *Router) hasCapacity(s *server, q *request) bool {
 	share := 1.0
 	if q.class.Need == NeedWrite {
@@ -770,7 +781,8 @@
 }
 
 // silent reports whether a server leaves its pending requests unanswered (outlier detection): a hang, a pause or a
-// partitioned network. Requests sent before the newest answered one are left out: they may be slow alone.
+// partitioned network. Requests sent before the newest answered one are left out: the server has
+// answered since, so they alone are slow.
 func (r *Router) silent(s *server) bool {
 	i := slices.IndexFunc(s.pending, func(f pendingAttempt) bool { return f.sent >= s.newestAnswered })
 	return i >= 0 && r.now-max(s.answeredAt, s.pending[i].sent) > r.silenceTimeout(s)
@@ -804,8 +816,8 @@
 
 // accountSend charges a send to a cold server's credit. A read sent to a warm replica earns each cold peer its
 // warmth as a fraction of a warm peer's share. Initial credit is random and below one, so that the sends of many
-// routers with few requests each add up, in the mean, to that fraction of a warm server's load. Overloaded warm
-// peers would earn cold ones too much.
+// routers with few requests each add up, in the mean, to that fraction of a warm server's load. If warm peers
+// are overloaded, cold ones earn too much.
 func (r *Router) accountSend(s *server, q *request) {
 	if r.warmth(s) < 1 {
 		s.coldCredit--
@@ -837,7 +849,7 @@
 	return r.cfg.ColdFrom + (1-r.cfg.ColdFrom)*float64(max(age, 0))/float64(r.cfg.RampTime)
 }
 
-// onOutcome takes the outcome of an attempt and retries or ends its request. A write that may have run counts for its
+// onOutcome handles the outcome of an attempt and retries or ends its request. A write that may have run counts for its
 // session even without an answer, or a later read could miss it.
 func (r *Router) onOutcome(e *Event) {
 	q := r.open[e.Request]
@@ -993,7 +1005,7 @@
 	}
 }
 
-// sweep goes through the waiting requests of the groups that may have changed: it ends those whose time is up,
+// sweep checks the waiting requests of the groups that may have changed: it ends those whose time is up,
 // dispatches held ones by value, and hedges those whose server is silent.
 func (r *Router) sweep() {
 	r.lastSweep, r.sweepNeeded = r.now, false
@@ -1077,8 +1089,8 @@
 	until := q.deadline + r.cfg.AnswerSlack/2
 	s := q.lastServer
 	switch {
-	case q.done, q.refusedFull, q.streamed: // requests of any group earn retry budget; a streamed request ends by an event
-		return math.MinInt64
+	case q.done, q.refusedFull, q.streamed:
+		return math.MinInt64 // requests of any group earn retry budget; a streamed request ends by an event
 	case q.pending == 0:
 		until = min(until, r.giveUpAt(q))
 	case s != nil && !q.withdrawn:
@@ -1104,14 +1116,15 @@
 	return until
 }
 
-// giveUpAt is when a request that no server has is given up (load shedding): one mean latency before its answer
+// giveUpAt is when a request without a pending attempt is given up (load shedding): one mean latency before its answer
 // would come too late to have any value, or after holdShare of its time if it was never sent.
 func (r *Router) giveUpAt(q *request) time.Duration {
 	end := q.deadline
 	if q.class.LateValue == 0 {
 		end = min(end, q.arrived+q.class.Target)
 	}
-	need := min(time.Duration(q.group.latency), q.class.Target/2) // or a period of high latency would shed all requests without a trial
+	// Half the target at most: otherwise a period of high latency would shed all requests without an attempt.
+	need := min(time.Duration(q.group.latency), q.class.Target/2)
 	end = min(end-need, q.deadline-2*r.cfg.MinBatchInterval)
 	if q.sends == 0 {
 		end = min(end, q.arrived+time.Duration(holdShare*float64(q.deadline-q.arrived))-2*r.cfg.MinBatchInterval)
@@ -1133,7 +1146,8 @@
 		if q.pending < 2 && r.retryBudget >= 1 && r.dispatch(q) {
 			r.retryBudget--
 		}
-	case r.cfg.Cancel && q.class.Effect == Safe && r.retryBudget >= 1: // without budget the pending attempt may still be answered
+	case r.cfg.Cancel && q.class.Effect == Safe && r.retryBudget >= 1:
+		// Without budget the pending attempt is kept, as it may still be answered.
 		q.withdrawn = true
 		r.actions = append(r.actions, Action{Kind: ActionWithdraw, Request: q.id, Attempt: q.sends - 1})
 	}
--- a/balance/balance_test.go
+++ b/balance/balance_test.go
@@ -138,7 +138,7 @@
 func (g *harness) wantFinal(id RequestID, want ActionKind) {
 	g.t.Helper()
 	if got, ok := g.final[id]; !ok || got != want {
-		g.t.Errorf("request %d: final answer %v (given %v), want %v", id, got, ok, want)
+		g.t.Errorf("request %d: final answer %v (was given: %v), want %v", id, got, ok, want)
 	}
 }
 
@@ -239,8 +239,8 @@
 	}
 }
 
-// TestBriefPollFailuresAreNotTakenForARestart: a network fault that breaks connections for less than a second must not make a warm
-// server cold; after a longer absence the server may have restarted.
+// TestBriefPollFailuresAreNotTakenForARestart: a network fault that breaks connections for less than a second must
+// not make a warm server cold; after a longer absence the server may have restarted.
 func TestBriefPollFailuresAreNotTakenForARestart(t *testing.T) {
 	for away, want := range map[time.Duration]bool{500 * ms: true, 5 * time.Second: false} {
 		g := newHarness(t, baseConfig(), 2)
@@ -269,8 +269,8 @@
 	}
 }
 
-// TestStuckWriteDoesNotBlockOthers: one connection dies while its server answers requests on others, which must neither wait
-// for the lost request nor count it against the server.
+// TestStuckWriteDoesNotBlockOthers: one connection dies while its server answers requests on others, which must
+// neither wait for the lost request nor count it against the server.
 func TestStuckWriteDoesNotBlockOthers(t *testing.T) {
 	g := newHarness(t, baseConfig(), 1)
 	g.ready(1)
@@ -339,8 +339,8 @@
 	g.wantAttempts(3, 2)
 }
 
-// TestSessionReadsWriteThatMayHaveRun: a session's write is pending, or its answer is lost. It may have run, so a session read
-// must not be served by a replica that is not known to have reached the write.
+// TestSessionReadsWriteThatMayHaveRun: a session's write is pending, or its answer is lost. It may have run, so a
+// session read must not be served by a replica that is not known to have reached the write.
 func TestSessionReadsWriteThatMayHaveRun(t *testing.T) {
 	for name, lose := range map[string]func(g *harness){
 		"pending": func(*harness) {},
@@ -399,8 +399,8 @@
 	g.wantAttempts(2)
 }
 
-// TestPrimaryIsDeposedByDenialAtItsClaimedPosition: a deposed primary that stops applying keeps the position of its last claim, so
-// a denial with that position is not older than the claim and must end the role.
+// TestPrimaryIsDeposedByDenialAtItsClaimedPosition: a deposed primary that stops applying keeps the position of its
+// last claim, so a denial with that position is not older than the claim and must end the role.
 func TestPrimaryIsDeposedByDenialAtItsClaimedPosition(t *testing.T) {
 	g := newHarness(t, baseConfig(), 3)
 	g.ready(3)
@@ -471,8 +471,8 @@
 	g.wantAttempts(1, guess, 3-guess)
 }
 
-// TestColdServerGetsItsPartFromManyUnequalRouters: many routers with few and unequal numbers of requests must together neither
-// overload a cold server nor starve it.
+// TestColdServerGetsItsPartFromManyUnequalRouters: many routers with few and unequal numbers of requests must
+// together neither overload a cold server nor starve it.
 func TestColdServerGetsItsPartFromManyUnequalRouters(t *testing.T) {
 	cfg := baseConfig()
 	cfg.Routers = 200
@@ -548,8 +548,9 @@
 	}
 }
 
-// TestSilenceOnCheckedConnectionsClosesNone: a server leaves a read unanswered on a connection that was idle. With connections
-// checked before each use, as on the platform, the read is queued at the server, and idle connections must stay open.
+// TestSilenceOnCheckedConnectionsClosesNone: a server leaves a read unanswered on a connection that was idle. With
+// connections checked before each use, as package platform does, the read is queued at the server, and idle
+// connections must stay open.
 func TestSilenceOnCheckedConnectionsClosesNone(t *testing.T) {
 	g := newLowTrafficHarness(t, true)
 	g.r.AssumeCheckedConns()
@@ -711,7 +712,7 @@
 	cfg.SubscribeToList, cfg.SubscribeWithin = true, 10*time.Second
 	g := newHarness(t, cfg, 2)
 	if g.count(ActionSubscribe) != 1 {
-		t.Fatal("no list was asked for at the start")
+		t.Fatal("no subscription to the list at the start")
 	}
 	g.step(Event{Kind: EventList, List: ListFailed})
 	for range 1000 {
@@ -720,7 +721,7 @@
 			return
 		}
 	}
-	t.Error("a failed list call was not made again within five seconds")
+	t.Error("a failed list request was not repeated within five seconds")
 }
 
 func TestRoutersBeginAtDifferentServers(t *testing.T) {
@@ -744,8 +745,8 @@
 	}
 }
 
-// TestSequentialReadsOpenFewConnections: with many servers, reads one at a time must reuse connections, as each new one costs a
-// server work; concurrent reads must use every server.
+// TestSequentialReadsOpenFewConnections: with many servers, reads one at a time must reuse connections, as each new
+// one costs a server work; concurrent reads must use every server.
 func TestSequentialReadsOpenFewConnections(t *testing.T) {
 	const servers = 40
 	cfg := baseConfig()
--- a/balance/index_test.go
+++ b/balance/index_test.go
@@ -45,7 +45,8 @@
 	return c
 }
 
-// TestSweepOfDueGroupsActsLikeFullSweep: sweeping only groups that may have changed must give the same actions as sweeping all of them.
+// TestSweepOfDueGroupsActsLikeFullSweep: sweeping only groups that may have changed must give the same actions as
+// sweeping all of them.
 // Random events include servers that fail, lag, answer late and start cold, changing lists, aborted requests and
 // long gaps between batches.
 func TestSweepOfDueGroupsActsLikeFullSweep(t *testing.T) {
@@ -77,8 +78,8 @@
 	}
 }
 
-// compareSweeps feeds the same random events to a router that sweeps all groups and to one that sweeps those due; the
-// actions of the former produce the events.
+// compareSweeps feeds the same random events to a router that sweeps all groups and to one that sweeps those due. The
+// events follow from the actions of the first router.
 func compareSweeps(t *testing.T, seed uint64) (events, actions int) {
 	rng := rand.New(rand.NewPCG(seed, 77))
 	cfg := drawConfig(rng)
@@ -123,7 +124,7 @@
 		events += len(evs)
 		actions += len(a)
 		if !reflect.DeepEqual(a, b) {
-			t.Fatalf("seed %d, step %d: %+v\nwhole  %+v\ndue    %+v\nevents %+v", seed, step, cfg, a, b, evs)
+			t.Fatalf("seed %d, step %d: %+v\nfull   %+v\ndue    %+v\nevents %+v", seed, step, cfg, a, b, evs)
 		}
 		for _, x := range a {
 			switch x.Kind {
@@ -158,7 +159,7 @@
 				evs = append(evs[:0], Event{Kind: EventList, List: ListFull, Entries: list})
 			}
 		}
-		// the next moment
+		// advance the clock
 		gap := time.Duration(rng.ExpFloat64() * float64(4*ms))
 		if rng.IntN(300) == 0 {
 			gap = time.Duration(rng.IntN(2000)) * ms
@@ -265,7 +266,7 @@
 		case 6:
 			evs = append(evs, Event{Kind: EventList, List: ListFailed})
 		case 7:
-			for m := range members { // the whole group
+			for m := range members { // all members of the group
 				down[ServerID(g*100+m+1)] = now + time.Duration(rng.IntN(3000))*ms
 			}
 		case 8:
--- a/balance/view.go
+++ b/balance/view.go
@@ -9,8 +9,8 @@
 // primaryLogPrefix begins the text of the ActionLog for a change of primary; the server's ID follows in hex.
 const primaryLogPrefix = "primary is now "
 
-// LoggedPrimary returns the new primary that the text of an ActionLog names, or false for any other text. It lets callers log
-// the server's name, which routers do not know.
+// LoggedPrimary returns the new primary that the text of an ActionLog names, or false for any other text. It lets
+// callers log the server's name, which routers do not know.
 func LoggedPrimary(text string) (ServerID, bool) {
 	number, ok := strings.CutPrefix(text, primaryLogPrefix)
 	id, err := strconv.ParseUint(number, 16, 64)
@@ -29,7 +29,7 @@
 	Limit       float64       // most pending requests, at least 1; the primary's depends on the class too
 	Warmth      float64       // least share of its capacity that it has, 0 to 1 (slow start)
 	Credit      float64       // requests that may be sent while it is cold
-	Lag         time.Duration // age of its highest reported position
+	Lag         time.Duration // age of its highest reported position; meaningless if Position is 0
 	Position    time.Duration // highest reported position as a clock time; 0 if none
 }
 
@@ -45,8 +45,9 @@
 	return list
 }
 
-// AdmissionRates returns the shares of first attempts, 0 to 1, that a group currently admits: of requests that only the primary serves, of
-// reads, and of reads that fall back to the primary. An unknown group has zeros.
+// AdmissionRates returns the shares of first attempts, 0 to 1, that a group currently admits: of requests that only
+// the primary serves, of reads, and of reads that fall back to the primary (0 before the first such read). An
+// unknown group has zeros.
 func (r *Router) AdmissionRates(group int) [3]float64 {
 	var p [3]float64
 	if g := r.groups[group]; g != nil {
