--- a/cmd/drill/main.go
+++ b/cmd/drill/main.go
@@ -1,5 +1,5 @@
-// Command drill runs any number of routers for the simulator, which exchanges frames of package wire with it over standard
-// input and output. Frames hold batches of events and are answered by batches of actions.
+// Command drill runs any number of routers for the simulator. They exchange frames of package simwire over standard
+// input and output: each frame holds a batch of events and is answered by a batch of actions.
 package main
 
 import (
@@ -26,8 +26,8 @@
 	id      uint32
 	router  *balance.Router
 	events  []balance.Event
-	pending bool   // it has inputs in the current batch
-	fault   string // panic of its decision code; empty if none
+	pending bool   // there are inputs for it in the current batch
+	fault   string // the router's panic as text; empty if none
 }
 
 // host runs the instances of one connection to the simulator.
--- a/internal/inbox/inbox.go
+++ b/internal/inbox/inbox.go
@@ -35,8 +35,8 @@
 	}
 }
 
-// Drain returns all events and how long the oldest has waited, and keeps the empty slice for the next ones. It does not
-// block.
+// Drain removes and returns all events, with the time since the oldest was put. It stores later events in empty, whose
+// contents it overwrites. It does not block.
 func (in *Inbox[E]) Drain(empty []E) ([]E, time.Duration) {
 	in.mu.Lock()
 	defer in.mu.Unlock()
--- a/internal/pending/pending.go
+++ b/internal/pending/pending.go
@@ -1,4 +1,5 @@
-// Package pending maps requests to those who wait for their answers. Request handlers add entries, the event loop answers.
+// Package pending maps open requests to the waiters for their answers. Request handlers add entries, and the event loop
+// removes them when it answers.
 package pending
 
 import (
@@ -15,7 +16,8 @@
 	ended   bool
 }
 
-// Add returns a new ID for a request with its waiter; false once the table is closed, as nobody would answer it.
+// Add assigns a new ID to a request and stores its waiter. It returns false once the table is closed, as nobody would
+// answer the request.
 func (t *Table[T]) Add(waiter T) (balance.RequestID, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -1,12 +1,12 @@
-// Package pool does the accounting of the connections to one node: the idle ones, reused last in first out, and the number
-// of the others.
+// Package pool does the accounting of the connections to one node: the idle ones, reused last in first out, and the
+// number of the others.
 package pool
 
 import "slices"
 
 // Pool counts the connections to a node. The zero Pool is empty; it is not safe for concurrent use.
 type Pool[C comparable] struct {
-	Idle    []C // the most recently used last
+	Idle    []C // idle connections, the most recently used last
 	Busy    int // connections that are not idle, including those being opened
 	Dialing int // connections being opened
 }
@@ -46,7 +46,7 @@
 	p.Idle = slices.DeleteFunc(p.Idle, func(i C) bool { return i == c })
 }
 
-// RemoveBusy removes a busy connection; dialing if it was being opened.
+// RemoveBusy removes a busy connection; dialing says that it was being opened.
 func (p *Pool[C]) RemoveBusy(dialing bool) {
 	if p.Busy--; dialing {
 		p.Dialing--
--- a/internal/rounds/rounds.go
+++ b/internal/rounds/rounds.go
@@ -1,5 +1,6 @@
-// Package rounds runs a router: it passes events to it and carries out the resulting actions, at one clock time. An action
-// may cause an event at once, as an attempt for a request that has ended does: the router gets it in a further round.
+// Package rounds runs a router: it passes events to the router and carries out the resulting actions, at one clock
+// time. An action may cause an event at once, as an attempt for a request that has ended does: the router gets that
+// event in a further round.
 package rounds
 
 import (
@@ -14,7 +15,7 @@
 	Router    *balance.Router
 	Timers    *schedule.Timers
 	Act       func(*balance.Action) // carries out an action other than setting a timer
-	MaxRounds int                   // limit on the rounds at one time
+	MaxRounds int                   // limit on the rounds of one Run
 	Pause     time.Duration         // delay of further rounds beyond that limit
 
 	events  []balance.Event
@@ -24,8 +25,8 @@
 // Notify queues an event for the next round.
 func (r *Rounds) Notify(ev balance.Event) { r.events = append(r.events, ev) }
 
-// Run runs one round, and further ones while events are pending, up to the limit. It does not
-// block.
+// Run runs one round, and further ones while events are pending, up to MaxRounds. Beyond that it sets a timer for the
+// remaining events. It blocks only if Act does.
 func (r *Rounds) Run(now time.Duration) {
 	for round := 0; round == 0 || len(r.events) > 0; round++ {
 		if round == r.MaxRounds {
--- a/internal/schedule/schedule.go
+++ b/internal/schedule/schedule.go
@@ -1,5 +1,5 @@
-// Package schedule provides a queue of items ordered by time, and by insertion where times are equal. It allocates only to
-// grow, unlike container/heap, which boxes each item twice.
+// Package schedule provides a queue of items ordered by time, and by insertion where times are equal. It allocates
+// only to grow, unlike container/heap, which boxes each item twice.
 package schedule
 
 import "time"
@@ -11,9 +11,9 @@
 }
 
 type item[T any] struct {
-	at  time.Duration
-	seq uint64
-	of  T
+	at    time.Duration
+	seq   uint64
+	value T
 }
 
 func (a *item[T]) before(b *item[T]) bool { return a.at < b.at || a.at == b.at && a.seq < b.seq }
@@ -22,9 +22,9 @@
 func (q *Queue[T]) Len() int { return len(q.heap) }
 
 // Put inserts an item at a time, after those already there at the same time.
-func (q *Queue[T]) Put(at time.Duration, of T) {
+func (q *Queue[T]) Put(at time.Duration, value T) {
 	q.seq++
-	q.heap = append(q.heap, item[T]{at, q.seq, of})
+	q.heap = append(q.heap, item[T]{at, q.seq, value})
 	i := len(q.heap) - 1
 	for i > 0 && q.heap[i].before(&q.heap[(i-1)/2]) {
 		q.heap[i], q.heap[(i-1)/2] = q.heap[(i-1)/2], q.heap[i]
@@ -54,7 +54,7 @@
 			}
 		}
 		if least == i {
-			return first.at, first.of
+			return first.at, first.value
 		}
 		q.heap[i], q.heap[least] = q.heap[least], q.heap[i]
 		i = least
--- a/internal/schedule/timers.go
+++ b/internal/schedule/timers.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Timers holds functions to be called at set times. A timer can't be cancelled: its function has to check whether it still
-// applies. The zero Timers is empty. It is not safe for concurrent use.
+// Timers holds functions to be called at set times. A timer can't be cancelled: its function has to check whether the
+// timer still applies. The zero Timers is empty. It is not safe for concurrent use.
 type Timers struct {
 	queue Queue[func(now time.Duration)]
 }
--- a/internal/simwire/json.go
+++ b/internal/simwire/json.go
@@ -11,8 +11,8 @@
 	"umberladder/balance"
 )
 
-// Values holds the start settings, flattened to a value for each path: nested names are joined by dots, and lists of plain
-// values by commas. A list of objects has its length under .count and its items under .0, .1 and so on.
+// Values holds the start settings, flattened to a value for each path: nested names are joined by dots, and lists of
+// plain values by commas. A list of objects has its length under .count and its items under .0, .1 and so on.
 type Values map[string]string
 
 // ParseJSON flattens settings given as a JSON object. It fails if raw is not one.
--- a/internal/simwire/simwire.go
+++ b/internal/simwire/simwire.go
@@ -400,8 +400,8 @@
 	return rep
 }
 
-// Millis converts milliseconds to a duration, rounded to microseconds, the resolution of the simulator. It returns false for NaN
-// and for magnitudes above 9e12.
+// Millis converts milliseconds to a duration, rounded to microseconds, the resolution of the simulator. It returns
+// false for NaN and for magnitudes above 9e12.
 func Millis(ms float64) (time.Duration, bool) {
 	if math.IsNaN(ms) || math.Abs(ms) > 9e12 {
 		return 0, false
@@ -409,8 +409,8 @@
 	return time.Duration(math.Round(ms*1000)) * time.Microsecond, true
 }
 
-// floorSeconds and floorMillis convert a 32-bit float that was rounded to nearest, and round down: the result is never above
-// the original value. Negative values give 0.
+// floorSeconds and floorMillis convert a 32-bit float that was rounded to nearest, and round down: the result is never
+// above the original value. Negative values, NaN and values above 9e9 give 0.
 func floorSeconds(s float32) time.Duration { return floorFloat(s, float64(time.Second)) }
 func floorMillis(ms float32) time.Duration { return floorFloat(ms, float64(time.Millisecond)) }
 
@@ -440,7 +440,7 @@
 	e.buf = binary.LittleEndian.AppendUint32(e.buf, instance)
 }
 
-// Fault writes that the selected instance's decision code failed, with at most 65535 bytes of text.
+// Fault writes that the selected instance's router panicked, with text cut at 65535 bytes.
 func (e *Encoder) Fault(text string) { e.text(codeFault, text) }
 
 // Action writes one action of the selected instance. A log text is cut at 65535 bytes.
--- a/internal/sock/sock.go
+++ b/internal/sock/sock.go
@@ -23,12 +23,13 @@
 	onRead   func()
 }
 
-// OnRead sets a function that is called when a read into a shared buffer returns bytes, with lock held from before that read
-// until after the call. Thus a holder of lock knows of all bytes that are no longer in the socket's buffer. OnRead must not be
-// called during a read.
+// OnRead sets a function that is called when a read into a shared buffer returns bytes, with lock held from before
+// that read until after the call. Thus a holder of lock knows of all bytes that are no longer in the socket's buffer.
+// OnRead must not be called during a read.
 func (s *Socket) OnRead(lock sync.Locker, read func()) { s.readLock, s.onRead = lock, read }
 
-// New returns a Socket for nc. Without a file descriptor the non-blocking operations do nothing.
+// New returns a Socket for nc. If nc has no file descriptor, TryWrite writes nothing, WouldBlock is always true, and
+// HasInput and HungUp are always false.
 func New(nc net.Conn) *Socket {
 	s := &Socket{Conn: nc}
 	if sc, ok := nc.(syscall.Conn); ok {
@@ -82,7 +83,8 @@
 	return err == nil && pending
 }
 
-// TryAccept returns the next pending connection of a TCP listener without blocking; syscall.EAGAIN if there is none.
+// TryAccept returns the next pending connection of a TCP listener without blocking. The error is syscall.EAGAIN if
+// there is none, and errors.ErrUnsupported if l has no file descriptor.
 func TryAccept(l net.Listener) (net.Conn, error) {
 	sc, ok := l.(syscall.Conn)
 	if !ok {
@@ -115,8 +117,9 @@
 	return hungUp
 }
 
-// AwaitHangup blocks, reading nothing, until the peer closes or resets the connection (nil) or the read deadline expires
-// (an error that wraps os.ErrDeadlineExceeded). It returns net.ErrClosed if the socket was closed locally.
+// AwaitHangup blocks, reading nothing, until the peer closes or resets the connection (nil) or the read deadline
+// expires (an error that wraps os.ErrDeadlineExceeded). The error wraps net.ErrClosed if the socket was closed
+// locally, and is errors.ErrUnsupported without a file descriptor.
 func (s *Socket) AwaitHangup() error {
 	if s.raw == nil {
 		return errors.ErrUnsupported
@@ -130,8 +133,8 @@
 	return err == nil && n > 0 && p[0].Revents&(unix.POLLRDHUP|unix.POLLHUP|unix.POLLERR) != 0
 }
 
-// Shutdown ends both directions of the connection without waiting for pending reads, which return. The socket must still
-// be closed.
+// Shutdown ends both directions of the connection without waiting for pending reads, which return. The socket must
+// still be closed.
 func (s *Socket) Shutdown() {
 	if s.raw == nil {
 		s.Close()
@@ -140,8 +143,8 @@
 	s.raw.Control(func(fd uintptr) { syscall.Shutdown(int(fd), syscall.SHUT_RDWR) })
 }
 
-// ShutdownAndClose shuts the connection down and closes the socket. Close waits for reads to end, so a caller that holds
-// a lock that a read needs must use Shutdown instead.
+// ShutdownAndClose shuts the connection down and closes the socket. Close waits for reads to end, so a caller that
+// holds a lock that a read needs must use Shutdown instead.
 func (s *Socket) ShutdownAndClose() {
 	s.Shutdown()
 	s.Close()
@@ -154,8 +157,8 @@
 	}
 }
 
-// ReadPooled reads into a buffer that it takes from shared only once there is input; the caller must put it back unless it
-// is nil. It blocks until bytes, the end of the stream (io.EOF) or an error arrive.
+// ReadPooled reads into a buffer that it takes from shared only once there is input; the caller must put the buffer
+// back unless it is nil. It blocks until bytes, the end of the stream (io.EOF) or an error arrive.
 func (s *Socket) ReadPooled(shared *pgwire.Buffers) (buf []byte, n int, err error) {
 	if s.raw == nil {
 		buf = shared.Get()
