--- a/admission/admission.go
+++ b/admission/admission.go
@@ -466,7 +466,7 @@
 
 // Stats is a snapshot of a gate.
 type Stats struct {
-	Open        int               // requests in flight
+	InFlight    int               // requests in flight
 	Bytes       int               // their total size
 	LoopLevel   int               // number of classes shed because the loop is late
 	MemoryLevel int               // likewise because memory is short; the number of classes plus one sheds everything
@@ -477,16 +477,16 @@
 
 // PoolStats is a snapshot of one pool.
 type PoolStats struct {
-	Slice   string
-	Primary bool
-	Limit   float64 // of requests in flight
-	Open    int     // requests in flight
-	Clients int     // clients with requests in flight
+	Slice    string
+	Primary  bool
+	Limit    float64 // of requests in flight
+	InFlight int     // requests in flight
+	Clients  int     // clients with requests in flight
 }
 
 // Stats returns a snapshot, with the pools sorted by slice, replicas first.
 func (g *Gate) Stats() Stats {
-	st := Stats{Open: g.open, Bytes: g.bytes, LoopLevel: g.loopLevel, MemoryLevel: g.memoryLevel, Counts: map[string]uint64{}}
+	st := Stats{InFlight: g.open, Bytes: g.bytes, LoopLevel: g.loopLevel, MemoryLevel: g.memoryLevel, Counts: map[string]uint64{}}
 	for w, n := range g.counts {
 		st.Counts[Reason(w).String()] = n
 		if Reason(w) != Admitted {
--- a/admission/admission_test.go
+++ b/admission/admission_test.go
@@ -304,7 +304,7 @@
 				}
 			}
 			g.ObserveLoopDelay(now, time.Duration(rapid.IntRange(0, 40).Draw(t, "waited"))*ms)
-			if st := g.Stats(); st.Open != len(inFlight) || st.Open > cfg.MaxOpen || st.Bytes > cfg.MaxBytes {
+			if st := g.Stats(); st.InFlight != len(inFlight) || st.InFlight > cfg.MaxOpen || st.Bytes > cfg.MaxBytes {
 				t.Fatalf("%+v with %d requests in flight", st, len(inFlight))
 			}
 		}
--- a/balance/api.go
+++ b/balance/api.go
@@ -77,7 +77,7 @@
 	Positions        bool          // answers carry log positions
 	LagPolicy        LagPolicy     // what replicas do with reads for which they lag too far behind
 	CatchUpWait      time.Duration // how long a replica waits with LagWait
-	RouterTokens     bool          // a session's writes are tracked by this router's answers, not by Event.SinceWrite
+	DriverSessions   bool          // a session's writes are tracked by this router's answers, not by Event.SinceWrite
 	SubscribeToList  bool          // the server list is delivered only after ActionSubscribe
 	// With SubscribeToList: a router without a subscription for this long counts as notified of all changes.
 	SubscribeWithin      time.Duration
--- a/balance/balance.go
+++ b/balance/balance.go
@@ -508,7 +508,7 @@
 	}
 	q := &request{id: e.Request, class: &r.cfg.Classes[e.Class], group: r.groupOf(e.Group), key: e.Key,
 		arrived: r.now, deadline: e.Deadline, primaryAfter: -1}
-	if q.class.Need == NeedSession && r.cfg.RouterTokens {
+	if q.class.Need == NeedSession && r.cfg.DriverSessions {
 		if q.minPosition = max(r.sessionFloor, r.sessions[e.Key]); r.writes[e.Key] > 0 {
 			q.minPosition = r.now // a pending write may have run already, and its answer may be lost
 		}
@@ -864,7 +864,7 @@
 		if r.writes[q.key]--; r.writes[q.key] == 0 {
 			delete(r.writes, q.key)
 		}
-		if commit := r.now; r.cfg.RouterTokens && !e.Outcome.NeverRan() { // it may have run without an answer
+		if commit := r.now; r.cfg.DriverSessions && !e.Outcome.NeverRan() { // it may have run without an answer
 			if e.Outcome == OutcomeOK && e.Position > 0 {
 				commit = r.cfg.Origin + e.Position
 			}
--- a/balance/balance_test.go
+++ b/balance/balance_test.go
@@ -322,7 +322,7 @@
 
 func TestSessionReadsWriteOfAbortedRequest(t *testing.T) {
 	cfg := baseConfig()
-	cfg.RouterTokens = true
+	cfg.DriverSessions = true
 	g := newHarness(t, cfg, 2)
 	g.ready(2)
 	g.request(1, write)
@@ -351,7 +351,7 @@
 		},
 	} {
 		cfg := baseConfig()
-		cfg.RouterTokens = true
+		cfg.DriverSessions = true
 		g := newHarness(t, cfg, 2)
 		g.ready(2)
 		g.request(1, write)
@@ -380,7 +380,7 @@
 // TestRefusedWriteDoesNotBindSessionReads: a refused write did not run, so replicas still serve the session's reads.
 func TestRefusedWriteDoesNotBindSessionReads(t *testing.T) {
 	cfg := baseConfig()
-	cfg.RouterTokens = true
+	cfg.DriverSessions = true
 	g := newHarness(t, cfg, 2)
 	g.ready(2)
 	g.request(1, write)
--- a/balance/index_test.go
+++ b/balance/index_test.go
@@ -28,7 +28,7 @@
 func drawConfig(rng *rand.Rand) Config {
 	b := func() bool { return rng.IntN(2) == 0 }
 	c := Config{Routers: rng.IntN(30), MinBatchInterval: time.Duration(1+rng.IntN(5)) * ms, Origin: time.Second, Positions: true,
-		LagPolicy: LagPolicy(0), CatchUpWait: 50 * ms, RouterTokens: rng.IntN(4) == 0, SubscribeToList: rng.IntN(6) == 0, SubscribeWithin: time.Second, DrainGrace: 500 * ms,
+		LagPolicy: LagPolicy(0), CatchUpWait: 50 * ms, DriverSessions: rng.IntN(4) == 0, SubscribeToList: rng.IntN(6) == 0, SubscribeWithin: time.Second, DrainGrace: 500 * ms,
 		SoftRemoval: rng.IntN(5) == 0, AnswerSlack: 20 * ms, ColdFrom: 0.2, RampTime: time.Duration(rng.IntN(2)) * 5 * time.Second, ColdOverloadMultiple: 3, ColdOverloadWindow: time.Second, Cancel: b(),
 		Probing: rng.IntN(6) > 0, ParallelAttempts: rng.IntN(4) == 0, AttemptLimit: 1 + rng.IntN(10), RetryAfter: b(), MaxRetryAfter: time.Second, DialTimeout: 250 * ms}
 	if rng.IntN(4) == 0 {
--- a/balance/invariant_test.go
+++ b/balance/invariant_test.go
@@ -194,7 +194,7 @@
 	for seed := range uint64(12) {
 		cfg := baseConfig()
 		cfg.ParallelAttempts = seed%2 == 1
-		cfg.RouterTokens = seed%3 == 1
+		cfg.DriverSessions = seed%3 == 1
 		cfg.SubscribeToList = seed%4 == 3
 		if seed%5 == 2 {
 			cfg.LagPolicy, cfg.CatchUpWait = LagWait, 100*ms
--- a/driver/engine.go
+++ b/driver/engine.go
@@ -128,7 +128,7 @@
 	if err := cfg.check(); err != nil {
 		return nil, err
 	}
-	cfg.Router.RouterTokens = false // sessions' needs reach the router as ages instead
+	cfg.Router.DriverSessions = false // sessions' needs reach the router as ages instead
 	routerConfig, tokenClasses := withTokenClasses(cfg.Router)
 	router, err := balance.New(routerConfig, seed)
 	if err != nil {
--- a/internal/simwire/settings.go
+++ b/internal/simwire/settings.go
@@ -41,7 +41,7 @@
 		MinBatchInterval:     s.time("round"),
 		Origin:               s.time("family-info.origin-time"),
 		Positions:            s.flag("family-info.positions"),
-		RouterTokens:         s.values["family-info.tokens"] == "router",
+		DriverSessions:       s.values["family-info.tokens"] == "router",
 		SubscribeToList:      s.values["discovery"] == "ask",
 		SubscribeWithin:      s.time("obligations.ask-within"),
 		DrainGrace:           s.time("obligations.drain-grace"),
--- a/server/metrics.go
+++ b/server/metrics.go
@@ -72,7 +72,7 @@
 	for _, p := range st.Pools {
 		name := map[bool]string{true: "primary", false: "replicas"}[p.Primary]
 		out <- prometheus.MustNewConstMetric(gateLimit, prometheus.GaugeValue, p.Limit, p.Slice, name)
-		out <- prometheus.MustNewConstMetric(gateOpen, prometheus.GaugeValue, float64(p.Open), p.Slice, name)
+		out <- prometheus.MustNewConstMetric(gateOpen, prometheus.GaugeValue, float64(p.InFlight), p.Slice, name)
 	}
 	out <- prometheus.MustNewConstMetric(gateShedForMemory, prometheus.GaugeValue, float64(st.MemoryLevel))
 	out <- prometheus.MustNewConstMetric(gateShedClasses, prometheus.GaugeValue, float64(st.LoopLevel))
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -150,7 +150,7 @@
 func (s *Settings) Router() balance.Config {
 	cfg := balance.Config{
 		Zone: max(0, indexOf(s.Zones, s.Zone)), Routers: s.Routers, MinBatchInterval: s.MinBatchInterval, Origin: s.Origin,
-		Positions: s.Positions, LagPolicy: s.LagPolicy, CatchUpWait: s.CatchUpWait, RouterTokens: s.DriverSessions,
+		Positions: s.Positions, LagPolicy: s.LagPolicy, CatchUpWait: s.CatchUpWait, DriverSessions: s.DriverSessions,
 		SubscribeToList: s.SubscribeToList, SubscribeWithin: s.SubscribeWithin, DrainGrace: s.DrainGrace, SoftRemoval: s.SoftRemoval,
 		AnswerSlack: s.AnswerMargin, ColdFrom: s.ColdFrom, RampTime: s.RampTime, ColdOverloadMultiple: s.ColdOverloadMultiple,
 		ColdOverloadWindow: s.ColdOverloadWindow, Cancel: s.Cancel, Probing: s.Probing, ParallelAttempts: s.ParallelAttempts, AttemptLimit: s.AttemptLimit,
