--- a/lab/history/history.go
+++ b/lab/history/history.go
@@ -29,7 +29,7 @@
 const (
 	Served  Outcome = iota
 	Refused         // the driver answered that it had no effect
-	Unknown         // it may have taken effect, or may still do so
+	Unknown         // it may have taken effect, or may take effect later
 )
 
 // Op is one operation as its client observed it. All times are on one clock.
@@ -43,12 +43,12 @@
 	Begin   time.Duration
 	End     time.Duration // when its client received the answer
 	Outcome Outcome
-	// Covered lists the operations covered by the token it was sent with: of its own session, or of other sessions that
+	// Covered lists the operations that its token covers: those of its own session, and those of other sessions that
 	// passed their tokens on.
 	Covered []string
 	Fresh   bool          // a read that must return the latest value
 	Bound   time.Duration // most staleness allowed; 0 for any
-	Excused bool          // of a read: answered by a former primary before any driver was notified of its demotion
+	Excused bool          // of a read: served by a former primary before any driver was notified of its demotion
 	Source  string        // answering node and its reported state; printed only, never judged
 }
 
@@ -68,7 +68,7 @@
 type Rule struct {
 	Name    string
 	Chances int // occasions on which it could have been broken
-	Excused int
+	Excused int // reads not judged because their Op is excused
 	Broken  []Violation
 }
 
@@ -117,7 +117,8 @@
 var ruleNames = [rules]string{"read your writes", "monotonic reads", "monotonic writes", "writes follow reads", "causal order",
 	"bounded age", "linearizable", "answers kept"}
 
-// Check checks a history and returns all rules, in the order of the indexes above.
+// Check checks a history and returns all rules, in the order of their indexes, such as ReadYourWrites. It takes up to
+// 20 s per key to check linearizability, and longer to shorten a violation.
 func Check(h *History) []*Rule {
 	c := newChecker(h)
 	c.checkSessions()
@@ -138,7 +139,7 @@
 // key is a key of a slice.
 type key struct{ slice, key string }
 
-// version is a Version with its index in the history.
+// version is a Version with its index in History.Versions.
 type version struct {
 	Version
 	order  int
@@ -152,8 +153,8 @@
 	versions map[string]*version // by value
 	byKey    map[key][]*version
 	after    []*past // by operation: its client's causal past including the operation
-	before   []*past
-	state    []uint8 // by operation, of visit
+	before   []*past // by operation: its client's causal past without the operation
+	state    []uint8 // by operation, the state of its visit
 }
 
 func newChecker(h *History) *checker {
@@ -191,11 +192,11 @@
 	c.rules[rule].Broken = append(c.rules[rule].Broken, v)
 }
 
-// checkAges finds reads that miss a write answered longer ago than their bound.
+// checkAges finds reads that miss a write whose answer precedes the begin of the read by more than the read's bound.
 func (c *checker) checkAges() {
 	type answered struct {
 		end time.Duration
-		v   *version // the newest version answered by then
+		v   *version // the newest version served until end
 	}
 	byKey := map[key][]answered{}
 	for i := range c.h.Ops {
@@ -235,8 +236,8 @@
 	}
 }
 
-// orderOf returns the order of the version an operation read or wrote, -1 for no value. It is unknown for a version
-// lost by a promotion.
+// orderOf returns the order of the version that an operation read or wrote, -1 for no value. It is unknown for a version
+// lost by a promotion and for a value that is not in the log.
 func (c *checker) orderOf(op *Op) (order int, known bool) {
 	if op.Value == "" {
 		return -1, true
--- a/lab/history/history_test.go
+++ b/lab/history/history_test.go
@@ -10,7 +10,7 @@
 )
 
 // parse parses a history with lines "log x=1 y=2 x=3!" (! for lost) and "ID SESSION r|w KEY VALUE BEGIN END OPTIONS".
-// VALUE is "-" for none; options are carries=A,B fresh bound=N unknown refused excused. Times are in milliseconds.
+// VALUE is "-" for none; options are covered=A,B fresh bound=N unknown refused excused. Times are in milliseconds.
 func parse(t testing.TB, text string) *History {
 	h := &History{}
 	for _, line := range strings.Split(strings.TrimSpace(text), "\n") {
@@ -35,7 +35,7 @@
 		for _, o := range w[7:] {
 			name, value, _ := strings.Cut(o, "=")
 			switch name {
-			case "carries":
+			case "covered":
 				op.Covered = strings.Split(value, ",")
 			case "fresh":
 				op.Fresh = true
@@ -68,69 +68,69 @@
 		{"own write missed", ReadYourWrites, "a b", `
 			log x=1
 			a s w x 1 0 5
-			b s r x - 6 9 carries=a`},
+			b s r x - 6 9 covered=a`},
 		{"own write missed after other reads", ReadYourWrites, "a d", `
 			log x=1 y=2
 			a s w x 1 0 5
-			b s r y - 6 9 carries=a
-			c s r y - 10 11 carries=b
-			d s r x - 12 14 carries=c`},
+			b s r y - 6 9 covered=a
+			c s r y - 10 11 covered=b
+			d s r x - 12 14 covered=c`},
 		{"an older value after a newer one", MonotonicReads, "w1 w2 a b", `
 			log x=1 x=2
 			w1 u w x 1 0 5
 			w2 u w x 2 6 9
 			a s r x 2 10 12
-			b s r x 1 13 15 carries=a`},
+			b s r x 1 13 15 covered=a`},
 		{"nothing after a value", MonotonicReads, "w1 a b", `
 			log x=1
 			w1 u w x 1 0 5
 			a s r x 1 4 6
-			b s r x - 7 8 carries=a`},
+			b s r x - 7 8 covered=a`},
 		{"back in time with the end of the write unknown", MonotonicReads, "w1 a b", `
 			log x=1
 			w1 u w x 1 0 500 unknown
 			a s r x 1 4 6
-			b s r x - 7 8 carries=a`},
+			b s r x - 7 8 covered=a`},
 		{"own writes out of order", MonotonicWrites, "a b", `
 			log x=2 x=1
 			a s w x 1 0 5
-			b s w x 2 6 9 carries=a`},
+			b s w x 2 6 9 covered=a`},
 		{"a write before what its client had read", WritesFollowReads, "w a b", `
 			log x=2 x=1
 			w u w x 1 0 5
 			a s r x 1 4 6 
-			b s w x 2 7 9 carries=a`},
+			b s w x 2 7 9 covered=a`},
 		{"a reply without what it answers", WritesFollowReads, "q ra rw r b", `
 			log x=1 y=2
 			q u w x 1 0 5
 			ra v r x 1 6 7
-			rw v w y 2 8 9 carries=ra
+			rw v w y 2 8 9 covered=ra
 			r s r y 2 10 11
-			b s r x - 12 13 carries=r`},
+			b s r x - 12 13 covered=r`},
 		{"a reply to a reply", WritesFollowReads, "w1 a1 a2 b1 b2 c1 c2", `
 			log x=1 y=2 z=3
 			w1 u w x 1 0 5
 			a1 v r x 1 6 7
-			a2 v w y 2 8 9 carries=a1
+			a2 v w y 2 8 9 covered=a1
 			b1 q r y 2 10 11
-			b2 q w z 3 12 13 carries=b1
+			b2 q w z 3 12 13 covered=b1
 			c1 s r z 3 14 15
-			c2 s r x - 16 17 carries=c1`},
+			c2 s r x - 16 17 covered=c1`},
 		{"read that misses what another session's token covers", CausalOrder, "w a b", `
 			log x=1
 			w u w x 1 0 5
 			a v r x 1 6 7
-			b s r x - 8 9 carries=a`},
+			b s r x - 8 9 covered=a`},
 		{"read that misses a write covered by another session's token", CausalOrder, "w b", `
 			log x=1
 			w u w x 1 0 5
-			b s r x - 8 9 carries=w`},
+			b s r x - 8 9 covered=w`},
 		{"two sessions swap tokens", CausalOrder, "w1 a2", `
 			log x=1 y=2
 			w1 a w x 1 0 5
 			w2 b w y 2 0 5
-			a2 b r x - 6 8 carries=w2,w1
-			b2 a r y 2 6 8 carries=w1,w2`},
+			a2 b r x - 6 8 covered=w2,w1
+			b2 a r y 2 6 8 covered=w1,w2`},
 		{"older than its bound", BoundedAge, "w1 b", `
 			log x=1
 			w1 u w x 1 0 5
@@ -168,7 +168,7 @@
 			for i, r := range Check(parse(t, c.text)) {
 				switch {
 				case i != c.rule && len(r.Broken) > 0:
-					t.Errorf("%s is broken too: %v", r.Name, r.Broken)
+					t.Errorf("%s is broken as well: %v", r.Name, r.Broken)
 				case i == c.rule && len(r.Broken) != 1:
 					t.Errorf("%s is broken %d times", r.Name, len(r.Broken))
 				case i == c.rule:
@@ -195,29 +195,29 @@
 		"a version lost by a promotion": `
 			log x=1! x=2
 			a s w x 1 0 5
-			b s r x - 6 9 carries=a
+			b s r x - 6 9 covered=a
 			c s r x - 6 9 fresh`,
 		"a lost value after one that stays": `
 			log x=1 x=2!
 			a s w x 1 0 5
 			b u w x 2 6 9
-			c s r x 2 10 11 carries=a
-			d s r x 1 12 13 carries=c`,
-		"another slice's cause": `
+			c s r x 2 10 11 covered=a
+			d s r x 1 12 13 covered=c`,
+		"a first read without a token": `
 			log x=1
 			a s r x - 6 9`,
 		"unknown and never seen": `
 			log x=1
 			a s w x 1 0 5
-			b s w x 2 6 9 unknown carries=a
-			c s r x 1 10 12 fresh carries=a
-			d s r x 1 13 15 fresh carries=c`,
+			b s w x 2 6 9 unknown covered=a
+			c s r x 1 10 12 fresh covered=a
+			d s r x 1 13 15 fresh covered=c`,
 		"unknown and seen later": `
 			log x=1 x=2
 			a s w x 1 0 5
-			b s w x 2 6 9 unknown carries=a
-			c s r x 1 10 12 fresh carries=a
-			d s r x 2 13 15 fresh carries=c`,
+			b s w x 2 6 9 unknown covered=a
+			c s r x 1 10 12 fresh covered=a
+			d s r x 2 13 15 fresh covered=c`,
 		"a former primary before any driver was notified": `
 			log x=1
 			a s w x 1 0 5
@@ -243,7 +243,7 @@
 	h := &History{}
 	newest := map[string]int{} // key to order
 	byKey := map[string][]int{}
-	type progress struct{ last, order int } // its last operation, and the log position that it has seen
+	type progress struct{ last, order int } // index of its last operation, and the highest log position it has seen
 	all := make([]progress, sessions)
 	for s := range all {
 		all[s].last = -1
@@ -286,8 +286,8 @@
 	return h
 }
 
-// TestCorrectStore checks that a correct store is accepted, and one that serves too old data to a session
-// is not.
+// TestCorrectStore checks that a correct store is accepted, and that a store which serves a session data older than its
+// token is not.
 func TestCorrectStore(t *testing.T) {
 	for seed := range uint64(30) {
 		h := store(seed, 400, 5, 6, true)
@@ -297,19 +297,19 @@
 			}
 		}
 		found := 0
-		for i := len(h.Ops) - 1; i > 0; i-- { // reads return no value, as before the first write
+		for i := len(h.Ops) - 1; i > 0; i-- { // such reads return no value, as before the first write
 			if op := &h.Ops[i]; op.Kind == Read && !op.Fresh && op.Value != "" && len(op.Covered) > 0 {
 				op.Value = ""
 				found++
 			}
 		}
 		if Broken(Check(h)) == 0 {
-			t.Errorf("seed %d: %d reads of nothing went unnoticed", seed, found)
+			t.Errorf("seed %d: %d reads of no value were not detected", seed, found)
 		}
 	}
 }
 
-// TestLongHistory checks that no rule is broken and the rules have chances over many operations.
+// TestLongHistory checks that over many operations of a correct store the rules have chances and none is broken.
 func TestLongHistory(t *testing.T) {
 	rules := Check(store(1, 15_000, 100, 200, true))
 	if n := Broken(rules); n > 0 {
@@ -329,7 +329,7 @@
 	h := store(1, 100_000, 200, 500, true)
 	for b.Loop() {
 		if n := Broken(Check(h)); n > 0 {
-			b.Fatalf("%d broken", n)
+			b.Fatalf("%d violations", n)
 		}
 	}
 }
--- a/lab/history/linearize.go
+++ b/lab/history/linearize.go
@@ -9,7 +9,7 @@
 	"github.com/anishathalye/porcupine"
 )
 
-// operation is a fresh read or a write of one key, as input of the model.
+// operation is the input of the model: a fresh read, or a write with its value.
 type operation struct {
 	write bool
 	value string
@@ -26,7 +26,7 @@
 	Equal: func(a, b any) bool { return a.(string) == b.(string) },
 }
 
-// maxCheckTime bounds the check of one key; its result is unknown afterwards.
+// maxCheckTime is the time limit for the check of one key. A check that reaches it has no verdict.
 const maxCheckTime = 20 * time.Second
 
 // checkLinearizable checks that the fresh reads and the writes of each key are linearizable. A write with an unknown
@@ -66,7 +66,7 @@
 	}
 }
 
-// check checks that operations on one key are linearizable.
+// check checks whether operations on one key are linearizable.
 func (c *checker) check(ops []int) porcupine.CheckResult {
 	all := make([]porcupine.Operation, 0, len(ops))
 	for _, i := range ops {
@@ -106,7 +106,8 @@
 	}
 }
 
-// shortestPrefix returns the shortest prefix, by begin time, that is not linearizable.
+// shortestPrefix returns the shortest prefix, by begin time, that is not linearizable, with the writes whose values it
+// read. It returns ops if none is found.
 func (c *checker) shortestPrefix(ops []int) []int {
 	sorted := slices.Clone(ops)
 	slices.SortFunc(sorted, func(a, b int) int { return int(c.h.Ops[a].Begin - c.h.Ops[b].Begin) })
@@ -127,7 +128,7 @@
 	return s
 }
 
-// withWriters returns some operations and the writes whose values they read.
+// withWriters returns the operations of all that are in some or wrote a value read by some.
 func (c *checker) withWriters(some, all []int) []int {
 	in := map[int]bool{}
 	for _, i := range some {
--- a/lab/history/sessions.go
+++ b/lab/history/sessions.go
@@ -23,7 +23,7 @@
 	chain  *step
 }
 
-// step is the last operation of a chain of operations, linked to the one before it.
+// step is an operation in a chain, linked to the operation before it. len is the length of the chain up to the step.
 type step struct {
 	op   int
 	prev *step
@@ -58,8 +58,8 @@
 	return e, ok
 }
 
-// merge returns the past merged with other entries, each passed through convert. An entry replaces the present one if
-// its version is newer, or the same with a shorter chain.
+// merge returns the past merged with entries, each passed through convert, which may reject it. An entry replaces the
+// one of the same key if its version is newer, or the same with a shorter chain.
 func (f *past) merge(entries map[key]entry, convert func(key, entry) (entry, bool)) *past {
 	var out *past
 	for p, e := range entries {
@@ -103,7 +103,7 @@
 }
 
 // visit computes the causal past before and after an operation. Its predecessors ended before it began, or are the
-// write whose value it read, so the recursion ends; in an invalid history, a cycle is cut at the operation being
+// write whose value it read, so the recursion ends; in an invalid history, a cycle ends at the operation being
 // visited.
 func (c *checker) visit(i int) {
 	if c.state[i] != unvisited {
