--- a/lab/memory/memory.go
+++ b/lab/memory/memory.go
@@ -35,10 +35,10 @@
 type Spec struct {
 	Program        string // path of the driver's executable
 	MemoryLimit    int    // memory limit in bytes
-	Streams        int    // open idle client streams
+	Streams        int    // idle client streams to open
 	Nodes          int    // nodes in the inventory; those beyond the reachable ones refuse connections
-	ReachableNodes int    // reachable nodes
-	SlowReaders    int    // clients that read large rows slowly
+	ReachableNodes int    // nodes that are running
+	SlowReaders    int    // clients that each read large rows slowly
 	BurstCalls     int    // calls sent at once
 	Seed           uint64
 }
@@ -51,20 +51,20 @@
 	clean          []func()
 	addr           string
 	driver         *exec.Cmd
-	peak           atomic.Int64 // bytes resident
+	peak           atomic.Int64 // peak resident memory of the driver in bytes
 	slowBytes      atomic.Int64 // bytes received by slow readers
 	streams        atomic.Int64 // open streams
-	steadyServed   atomic.Int64
-	burstRefused   atomic.Int64
-	steadyFailed   atomic.Int64
+	steadyServed   atomic.Int64 // served calls of the steady client
+	burstFailed    atomic.Int64 // calls of the burst that were refused or failed
+	steadyFailed   atomic.Int64 // calls of the steady client that were refused or failed
 	streamsRefused atomic.Int64 // streams refused by the driver
 	lastError      atomic.Value // text of the steady client's last error
 	notes          []string
 }
 
-// Run starts a driver process with a memory limit and adds one load after the other: a large inventory, many open
-// streams, slow readers of large rows, and a burst of calls. It checks the peak of resident memory and that a steady
-// client is served after the burst. An error says that the run could not be set up.
+// Run starts a driver process with a memory limit and a large inventory, and adds many open streams, slow readers of
+// large rows, and a burst of calls, one load on top of the other. It checks the peak of resident memory and that a
+// steady client is served after the burst. An error says that the run could not be set up.
 func Run(spec Spec) (*lab.Report, error) {
 	m := &run{spec: spec}
 	defer m.close()
@@ -89,7 +89,7 @@
 	time.Sleep(3 * time.Second)
 	m.note("%d slow readers of rows of %d KiB, %d KiB read so far", spec.SlowReaders, slowRowBytes>>10, m.slowBytes.Load()>>10)
 	m.burst(ctx)
-	m.note("%d calls at once: %d refused", spec.BurstCalls, m.burstRefused.Load())
+	m.note("%d calls at once: %d refused", spec.BurstCalls, m.burstFailed.Load())
 	after := m.awaitProgress()
 	m.note("after the burst the steady client received %d answers (last error: %v)", after, m.lastError.Load())
 	r := m.report(after)
@@ -187,7 +187,7 @@
 	return m.awaitServing(out.Name())
 }
 
-// awaitServing waits up to a minute until a read is served.
+// awaitServing waits up to a minute until a read is served. Its error includes the end of the log file.
 func (m *run) awaitServing(log string) error {
 	c, err := m.dial()
 	if err != nil {
@@ -236,7 +236,7 @@
 // streamsPerConn is the number of streams on each connection.
 const streamsPerConn = 500
 
-// openStreams opens health watches, which stay open until ctx ends.
+// openStreams opens health watches, as clients with health checks do. They stay open until ctx ends.
 func (m *run) openStreams(ctx context.Context, all *sync.WaitGroup) error {
 	var opening errgroup.Group
 	opening.SetLimit(64)
@@ -270,7 +270,7 @@
 	return opening.Wait()
 }
 
-// startSlowReaders starts clients that read large rows, one row every half second.
+// startSlowReaders starts clients that read one large row every half second until ctx ends.
 func (m *run) startSlowReaders(ctx context.Context, all *sync.WaitGroup) {
 	for i := range m.spec.SlowReaders {
 		c, err := m.dial()
@@ -299,7 +299,7 @@
 	}
 }
 
-// burst sends calls all at once and waits for their ends.
+// burst sends BurstCalls calls at once and waits until all have ended.
 func (m *run) burst(ctx context.Context) {
 	const conns = 20
 	var all sync.WaitGroup
@@ -311,7 +311,7 @@
 		for n := range m.spec.BurstCalls / conns {
 			all.Go(func() {
 				if m.read(ctx, pb.NewDriverClient(c), i+n) != nil {
-					m.burstRefused.Add(1)
+					m.burstFailed.Add(1)
 				}
 			})
 		}
@@ -330,7 +330,7 @@
 }
 
 func (m *run) report(after int64) *lab.Report {
-	r := &lab.Report{Name: "memory", Seed: m.spec.Seed, Counts: map[lab.Verdict]int{lab.Served: int(m.steadyServed.Load()), lab.Refused: int(m.burstRefused.Load() + m.steadyFailed.Load())},
+	r := &lab.Report{Name: "memory", Seed: m.spec.Seed, Counts: map[lab.Verdict]int{lab.Served: int(m.steadyServed.Load()), lab.Refused: int(m.burstFailed.Load() + m.steadyFailed.Load())},
 		Faults: []string{fmt.Sprintf("%d streams asked for, %d slow readers, %d calls at once", m.spec.Streams, m.spec.SlowReaders, m.spec.BurstCalls)}, Notes: m.notes}
 	bound := &lab.Rule{Name: "memory bounded", Chances: 1}
 	if m.peak.Load() > int64(m.spec.MemoryLimit) {
@@ -347,7 +347,7 @@
 	return r
 }
 
-// stop ends the driver with SIGTERM and waits for it.
+// stop sends SIGTERM to the driver and waits for its end. It returns an error for an exit status other than 0.
 func (m *run) stop() error {
 	m.driver.Process.Signal(syscall.SIGTERM)
 	err := m.driver.Wait()
--- a/lab/process/process.go
+++ b/lab/process/process.go
@@ -11,7 +11,8 @@
 	"strings"
 )
 
-// ResidentPeak returns the peak resident memory of a process in bytes, 0 if the process does not exist.
+// ResidentPeak returns the peak resident memory of a process in bytes, 0 if it cannot be read, as after the end of the
+// process.
 func ResidentPeak(pid int) int64 {
 	f, err := os.Open(fmt.Sprintf("/proc/%d/status", pid))
 	if err != nil {
@@ -32,7 +33,8 @@
 	return 0
 }
 
-// OpenFiles returns the number of open file descriptors of a process; ok is false if the process does not exist.
+// OpenFiles returns the number of open file descriptors of a process; ok is false if it cannot be read, as
+// after the end of the process.
 func OpenFiles(pid int) (count int, ok bool) {
 	entries, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", pid))
 	return len(entries), err == nil
--- a/lab/soak/client.go
+++ b/lab/soak/client.go
@@ -16,7 +16,7 @@
 	"umberladder/standin/catalog"
 )
 
-const maxMessageBytes = 1 << 20
+const maxMessageBytes = 1 << 20 // largest message accepted from a driver
 
 // clientKind is the behaviour of a client.
 type clientKind uint8
@@ -52,12 +52,12 @@
 	driver      string
 	deadline    time.Duration
 	firstOnConn bool      // first request of its connection
-	sent        time.Time // when its last byte was written
-	unsent      bool      // its last byte was not written
+	sent        time.Time // just before its last byte was written; zero if that was not tried
+	unsent      bool      // its last byte was not written, or only after the end of its connection was read
 	prevAnswer  time.Time // time of the previous answer on its connection; answers are in the order of requests
 	outcome     outcome
 	endedAt     time.Time // time of the outcome
-	code        string
+	code        string    // SQLSTATE of an error
 	value       string
 }
 
@@ -69,30 +69,30 @@
 	openConns  int      // connections to drivers
 }
 
-func (b *requestLog) add(r *request) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.requests = append(b.requests, r)
+func (l *requestLog) add(r *request) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.requests = append(l.requests, r)
 }
 
 // all returns a copy of all requests.
-func (b *requestLog) all() []request {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	out := make([]request, len(b.requests))
-	for i, r := range b.requests {
+func (l *requestLog) all() []request {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	out := make([]request, len(l.requests))
+	for i, r := range l.requests {
 		out[i] = *r
 	}
 	return out
 }
 
-func (b *requestLog) update(change func()) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+func (l *requestLog) update(change func()) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
 	change()
 }
 
-// client is one client of a driver. It reconnects when its connection ends, until dialCtx ends.
+// client is one client of a driver. It reconnects when its connection ends, until run.dialCtx ends.
 type client struct {
 	run     *run
 	kind    clientKind
@@ -109,10 +109,10 @@
 	log        *requestLog
 	ended      chan struct{} // closed when the connection has ended
 	mu         sync.Mutex
-	queue      []*request
-	used       bool
-	closed     bool      // its end was read: later requests count as not sent
-	lastAnswer time.Time // time of the last answer
+	queue      []*request // pending, oldest first
+	used       bool       // a request was sent on it
+	closed     bool       // its end was read; later requests count as not sent
+	lastAnswer time.Time  // time of the last answer
 }
 
 // dial opens a connection and starts its reader.
@@ -238,7 +238,7 @@
 	}
 }
 
-// connect dials until the driver accepts a connection. It returns false once ctx or dialCtx has ended.
+// connect dials until the driver accepts a connection. It returns false once ctx or run.dialCtx has ended.
 func (c *client) connect(ctx context.Context) bool {
 	for ctx.Err() == nil && c.run.dialCtx.Err() == nil {
 		if k, err := c.dial(); err == nil {
@@ -250,7 +250,7 @@
 	return false
 }
 
-// pause waits for a random time with a mean, or until ctx or the connection ends.
+// pause waits for a random time with the given mean, or until ctx or the connection ends.
 func (c *client) pause(ctx context.Context, mean time.Duration) {
 	var ended chan struct{}
 	if c.current != nil {
@@ -276,7 +276,7 @@
 	return r, pgwire.AppendQuery(nil, text)
 }
 
-// exchange sends requests and waits for their answers.
+// exchange sends count requests and waits for their answers.
 func (c *client) exchange(ctx context.Context, count int, fragmented bool) {
 	for range count {
 		r, query := c.next()
@@ -285,16 +285,16 @@
 	c.await(ctx)
 }
 
-// send logs a request and writes it. The send time is set before the last byte is written, as the answer may arrive
-// before the write returns.
-func (c *client) send(r *request, query []byte, inPieces bool) {
+// send logs a request and writes it, in two pieces if fragmented. The send time is set before the last byte is written,
+// as the answer may arrive before the write returns.
+func (c *client) send(r *request, query []byte, fragmented bool) {
 	k := c.current
 	k.mu.Lock()
 	r.firstOnConn = !k.used
 	k.used = true
 	k.mu.Unlock()
 	c.run.log.add(r)
-	if inPieces {
+	if fragmented {
 		cut := 1 + c.rng.IntN(len(query)-1)
 		if _, err := k.Write(query[:cut]); err != nil {
 			c.run.log.update(func() { r.unsent = true })
@@ -351,7 +351,8 @@
 	c.current = nil
 }
 
-// crowd holds as many idle connections to a driver as it can get, until ctx ends.
+// crowd holds as many idle connections to a driver as it can get, until ctx ends. Only every other one sends a startup
+// message.
 func (r *run) crowd(ctx context.Context, p *driverProcess) {
 	var held []net.Conn
 	defer func() {
--- a/lab/soak/judge.go
+++ b/lab/soak/judge.go
@@ -16,16 +16,16 @@
 )
 
 const (
-	answerGrace     = 500 * time.Millisecond // time after the deadline in which an answer still completes its request
-	ioSlack         = 50 * time.Millisecond  // added to each time limit for I/O
-	disconnectGrace = 100 * time.Millisecond // time after a disconnect in which an attempt for the client may begin
-	// closeRaceWindow is the time before a connection's end in which a request may be written without being read by the
-	// driver.
-	closeRaceWindow = 50 * time.Millisecond
-	// Goroutines allowed per driver, and for each session and each connection to a member.
-	maxBaseGoroutines    = 30
-	goroutinesPerConn    = 3
-	maxExcessDescriptors = 6 // descriptors besides connections allowed in addition under load, for files and sockets being opened or closed
+	answerGrace     = 500 * time.Millisecond // time after the deadline within which an answer must arrive
+	ioSlack         = 50 * time.Millisecond  // time for I/O added to the drain grace
+	disconnectGrace = 100 * time.Millisecond // time after a disconnect within which an attempt for the client may begin
+	// closeRaceWindow is the time before a connection's end within which the driver may leave a written request unread.
+	closeRaceWindow   = 50 * time.Millisecond
+	maxBaseGoroutines = 30 // goroutines allowed per driver without sessions and connections to members
+	goroutinesPerConn = 3  // further goroutines allowed for each session and each connection to a member
+	// maxExcessDescriptors is the number of descriptors besides connections that a driver may have more under load than
+	// without, for files and sockets being opened or closed.
+	maxExcessDescriptors = 6
 )
 
 // arrival is a request received by a member.
@@ -58,8 +58,9 @@
 // sinceTerm returns the time from SIGTERM to at.
 func (r *run) sinceTerm(at time.Time) time.Duration { return at.Sub(r.termAt).Round(time.Millisecond) }
 
-// checkAnswered checks that each request written is answered in time, with the value that a member sent. It excuses a
-// request written shortly before its connection ended that reached no member, as the driver may not have read it.
+// checkAnswered checks that each request written is answered in time, with the value that a member sent. It excuses
+// requests without an answer that reached no member if their connection ended soon after they were written, as the driver
+// may not have read them. With a crowd it also excuses the first request of a connection that was reset.
 func (r *run) checkAnswered(requests []request, arrivals map[string][]arrival, slack time.Duration) *lab.Rule {
 	rule := &lab.Rule{Name: "answered"}
 	for i := range requests {
@@ -69,7 +70,7 @@
 		}
 		rule.Chances++
 		took := q.endedAt.Sub(q.sent)
-		inTurn := min(took, q.endedAt.Sub(q.prevAnswer)) // waiting for earlier answers does not count
+		inTurn := min(took, q.endedAt.Sub(q.prevAnswer)) // time spent on earlier answers of the connection does not count
 		switch {
 		case q.outcome == outcomeValue && q.value != catalog.Value(q.id):
 			rule.Break("%s was answered with %q", q.id, q.value)
@@ -89,7 +90,7 @@
 	return rule
 }
 
-// checkOnce checks that no request is answered twice, no write reaches members twice, and no request reaches a member
+// checkOnce checks that no answer is without a request, no write reaches members twice, and no request reaches a member
 // after its final answer.
 func (r *run) checkOnce(requests []request, arrivals map[string][]arrival, slack time.Duration) *lab.Rule {
 	rule := &lab.Rule{Name: "once"}
@@ -159,7 +160,7 @@
 	return rule
 }
 
-// checkReady checks that each driver start is ready in time.
+// checkReady checks that after each start the driver was ready in time.
 func (r *run) checkReady() *lab.Rule {
 	rule := &lab.Rule{Name: "ready"}
 	for _, s := range r.starts {
@@ -173,7 +174,8 @@
 	return rule
 }
 
-// checkResources checks that descriptors and goroutines are bounded by the number of connections.
+// checkResources checks that goroutines are bounded by the number of connections, and descriptors by maxDescriptors and
+// maxExcessDescriptors.
 func (r *run) checkResources() (*lab.Rule, error) {
 	rule := &lab.Rule{Name: "level"}
 	if r.excessMeasured {
@@ -213,8 +215,8 @@
 	return rule
 }
 
-// checkEnded checks that the driver exits with status 0 after SIGTERM, before SIGKILL. A process that has not yet
-// installed its signal handler may be ended by the signal.
+// checkEnded checks that the first driver exits with status 0 after SIGTERM, before SIGKILL. A process that has not yet
+// installed its signal handler may be ended by SIGTERM.
 func (r *run) checkEnded() *lab.Rule {
 	rule := &lab.Rule{Name: "ends by itself", Chances: 1}
 	p := r.drivers[0]
@@ -231,7 +233,7 @@
 	return rule
 }
 
-// signalSetupTime is the time after its start in which a process may not have installed its signal handler.
+// signalSetupTime is the time after its start within which a process may not have installed its signal handler.
 const signalSetupTime = 100 * time.Millisecond
 
 func endedBySignal(e *exec.ExitError) bool {
--- a/lab/soak/plan.go
+++ b/lab/soak/plan.go
@@ -14,7 +14,7 @@
 // Signals is a series of signals sent to the driver.
 type Signals uint8
 
-// The series. Each includes SIGTERM.
+// The series of signals. Each includes SIGTERM; a reload is SIGHUP.
 const (
 	SignalTerm             Signals = iota
 	SignalHupHupTerm               // two reloads, then SIGTERM
@@ -32,7 +32,7 @@
 
 func (s Signals) String() string { return signalNames[s] }
 
-// MemberTrouble is the trouble of one member at the time of the last signals.
+// MemberTrouble is the trouble of one member, which begins just before the first SIGTERM.
 type MemberTrouble uint8
 
 // The troubles.
@@ -60,18 +60,18 @@
 	WriteDeadline   time.Duration
 	Clients         [clientKinds]int
 	Load            time.Duration // time from ready to the first signal
-	AcceptAfterTerm time.Duration // time after SIGTERM in which clients open new connections
+	AcceptAfterTerm time.Duration // time after SIGTERM during which clients open new connections
 }
 
 const (
 	members        = 4
-	maxDescriptors = 256
-	memoryMB       = 192
-	maxKillDelay   = 3 * time.Second // bound on the deadlines that delay SIGKILL
-	killMargin     = 700 * time.Millisecond
+	maxDescriptors = 256                    // of a driver
+	memoryMB       = 192                    // memory limit of a driver in MiB
+	maxKillDelay   = 3 * time.Second        // longest deadline for which SIGKILL is delayed
+	killMargin     = 700 * time.Millisecond // time from the deadline to SIGKILL
 )
 
-// killAfter returns the time from SIGTERM until the platform may kill the driver.
+// killAfter returns the time from SIGTERM after which the platform may kill the driver.
 func (p *Plan) killAfter() time.Duration {
 	return min(max(p.ReadDeadline, p.WriteDeadline), maxKillDelay) + killMargin
 }
--- a/lab/soak/process.go
+++ b/lab/soak/process.go
@@ -42,7 +42,7 @@
 	files  int   // descriptors
 }
 
-// newProcess prepares a driver with its files in dir, without starting it.
+// newProcess writes the configuration of a driver to dir and picks its address. It does not start the driver.
 func newProcess(program, dir string, config catalog.DriverConfig) (*driverProcess, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -114,7 +114,8 @@
 	return true
 }
 
-// ready waits until the driver answers an empty query, and returns the time since its start.
+// ready waits until the driver answers an empty query, and returns the time since its start. It returns an error if the
+// process ends first or within has passed since the start.
 func (p *driverProcess) ready(within time.Duration) (time.Duration, error) {
 	for {
 		if p.probe() == nil {
--- a/lab/soak/run.go
+++ b/lab/soak/run.go
@@ -61,12 +61,12 @@
 	excessMeasured    bool          // excessDescriptors is set
 	starts            []startResult // one per driver start
 	termAt            time.Time     // when SIGTERM was first sent to the first driver
-	reloaded          bool          // the first driver was reconfigured or discovery was silent, so that a drain may reach it later
+	reloaded          bool          // the first driver got SIGHUP, so that a drain may reach it later
 	troubleAt         time.Time     // when the member's trouble began
 	killed            bool          // the first driver was still running at SIGKILL
 }
 
-// startResult is the duration of a driver start, its limit, and its error.
+// startResult is the duration of a driver's start until it was ready, its limit, and its error.
 type startResult struct {
 	driver  string
 	took    time.Duration
@@ -75,14 +75,14 @@
 }
 
 const (
-	firstReady   = 30 * time.Second
-	restartReady = 10 * time.Second
-	reloadDelay  = 4 * time.Second // time after SIGHUP by which a drain must have reached the driver
-	crowdLead    = 200 * time.Millisecond
+	firstReady   = 30 * time.Second       // time limit for a start
+	restartReady = 10 * time.Second       // time limit for the restart of the second driver
+	reloadDelay  = 4 * time.Second        // time after the start of a drain by which it must have reached a driver that got SIGHUP
+	crowdLead    = 200 * time.Millisecond // time from the first crowd connections to the first signal
 )
 
-// Run runs the plan of a seed, which takes seconds, and judges it. An error says that the run could not be made; broken
-// rules are in the result.
+// Run runs the plan of a seed, which takes seconds, and judges it. It returns an error if the run could not be completed
+// or ctx ended; broken rules are no error but part of the result.
 func Run(ctx context.Context, o Options) (*Result, error) {
 	plan := Draw(o.Seed)
 	dir, clean, err := runDir(o)
@@ -99,7 +99,7 @@
 	if err := r.setUp(o.Program, dir); err != nil {
 		return nil, err
 	}
-	if err := r.play(ctx); err != nil {
+	if err := r.runPlan(ctx); err != nil {
 		return nil, err
 	}
 	if ctx.Err() != nil {
@@ -112,7 +112,7 @@
 	return result, err
 }
 
-// runDir creates the directory for a run's files.
+// runDir creates the directory for a run's files. clean removes it unless it is to be kept.
 func runDir(o Options) (dir string, clean func(), err error) {
 	if o.KeepDir == "" {
 		dir, err = os.MkdirTemp("", "umberladder-soak")
@@ -182,8 +182,8 @@
 	}
 }
 
-// play runs drivers and clients according to the plan until the first driver has ended.
-func (r *run) play(ctx context.Context) error {
+// runPlan runs drivers and clients according to the plan until the first driver has ended.
+func (r *run) runPlan(ctx context.Context) error {
 	clientCtx, end := context.WithCancel(ctx)
 	defer func() {
 		end()
@@ -243,7 +243,7 @@
 	r.clients.Go(func() { c.loop(ctx) })
 }
 
-// sendSignals sends the signals to the first driver and starts the member's trouble between them.
+// sendSignals sends the signals to the first driver and starts the member's trouble just before the first SIGTERM.
 func (r *run) sendSignals(ctx context.Context) error {
 	p := r.drivers[0]
 	reload := func(to int) error {
@@ -388,7 +388,8 @@
 	return least
 }
 
-// measureExcess records the growth of otherDescriptors under load.
+// measureExcess records the growth of otherDescriptors under load. It is judged only with a single driver, as the
+// members' connections are not counted by driver.
 func (r *run) measureExcess(p *driverProcess) {
 	r.excessMeasured = len(r.drivers) == 1
 	r.excessDescriptors = r.otherDescriptors(p) - r.baseDescriptors
--- a/lab/soak/series.go
+++ b/lab/soak/series.go
@@ -26,8 +26,8 @@
 	results []*Result
 }
 
-// Run runs the seeds from first to last and returns when all have ended or ctx ends. An error says that a seed could
-// not be run; the results so far are kept.
+// Run runs the seeds from first to last and returns when all have ended. When ctx ends, it starts no more seeds and
+// returns nil. It returns an error if a seed could not be run; the results so far are kept.
 func (s *Series) Run(ctx context.Context, first, last uint64) error {
 	var end time.Time
 	if s.For > 0 {
@@ -39,13 +39,13 @@
 		if !end.IsZero() && time.Now().After(end) {
 			break
 		}
-		work.Go(func() error { return s.playSeed(inner, seed) })
+		work.Go(func() error { return s.runSeed(inner, seed) })
 	}
 	return work.Wait()
 }
 
-// playSeed runs one seed. A run interrupted by ctx is no error and is not counted.
-func (s *Series) playSeed(ctx context.Context, seed uint64) error {
+// runSeed runs one seed. A run interrupted by ctx is no error and is not counted.
+func (s *Series) runSeed(ctx context.Context, seed uint64) error {
 	result, err := Run(ctx, Options{Program: s.Program, Seed: seed, KeepDir: s.KeepDir})
 	if ctx.Err() != nil {
 		return nil
@@ -74,7 +74,7 @@
 	return first, last, nil
 }
 
-// Results returns the results of all completed seeds in order of completion. Call it after Play has returned.
+// Results returns the results of all completed seeds in order of completion. Call it after Run has returned.
 func (s *Series) Results() []*Result { return s.results }
 
 // Broken returns the number of violations in all seeds.
@@ -88,8 +88,8 @@
 // maxBreaksShown is the number of violations written per seed and rule.
 const maxBreaksShown = 5
 
-// Write writes a table by rule and, for each seed with violations, the violations and the command that runs the seed
-// alone.
+// Write writes a table by rule and, for each seed with violations, the command that runs the seed alone and at most
+// maxBreaksShown violations of each rule.
 func (s *Series) Write(w io.Writer) {
 	fmt.Fprintf(w, "%d seeds\n%-20s %9s %9s %9s\n", len(s.results), "rule", "chances", "excused", "broken")
 	for i, sum := range s.sumRules() {
@@ -113,7 +113,7 @@
 	fmt.Fprintf(w, "rules broken: %d\n", s.Broken())
 }
 
-// sumRules sums the chances of each rule over all seeds.
+// sumRules sums the chances and excused cases of each rule over all seeds.
 func (s *Series) sumRules() (sums []lab.Rule) {
 	for _, r := range s.results {
 		if sums == nil {
--- a/lab/soak/soak_test.go
+++ b/lab/soak/soak_test.go
@@ -45,9 +45,9 @@
 	}
 }
 
-// TestRequestAfterConnectionEnd checks that a request on a connection whose end was read counts as not sent. Such a request
-// used to stay in the queue of the ended connection and counted as unanswered: seed 116, once on a loaded machine,
-// "k1c2n94, sent 327ms after SIGTERM: no answer".
+// TestRequestAfterConnectionEnd checks that a request on a connection whose end was read counts as not sent. Such a
+// request used to stay in the queue of the ended connection and counted as unanswered: seed 116, once on a loaded
+// machine, "k1c2n94, sent 327ms after SIGTERM: no answer".
 func TestRequestAfterConnectionEnd(t *testing.T) {
 	ours, theirs := net.Pipe()
 	defer theirs.Close()
@@ -59,6 +59,6 @@
 	r, query := c.next()
 	c.send(r, query, false)
 	if got := k.log.all()[0]; !got.unsent || len(k.queue) > 0 {
-		t.Errorf("unsent %v, ended by %s, %d wait", got.unsent, outcomeNames[got.outcome], len(k.queue))
+		t.Errorf("unsent %v, ended by %s, %d pending", got.unsent, outcomeNames[got.outcome], len(k.queue))
 	}
 }
