--- a/lab/history/history.go
+++ b/lab/history/history.go
@@ -108,7 +108,7 @@
 	MonotonicWrites
 	WritesFollowReads
 	CausalOrder
-	BoundedAge
+	BoundedStaleness
 	Linearizable
 	AnswersKept
 	rules
@@ -122,7 +122,7 @@
 func Check(h *History) []*Rule {
 	c := newChecker(h)
 	c.checkSessions()
-	c.checkAges()
+	c.checkStaleness()
 	c.checkAnswers()
 	c.checkLinearizable()
 	return c.rules
@@ -192,8 +192,9 @@
 	c.rules[rule].Broken = append(c.rules[rule].Broken, v)
 }
 
-// checkAges finds reads that miss a write whose answer precedes the begin of the read by more than the read's bound.
-func (c *checker) checkAges() {
+// checkStaleness finds reads that miss a write whose answer precedes the begin of the read by more than the read's
+// bound.
+func (c *checker) checkStaleness() {
 	type answered struct {
 		end time.Duration
 		v   *version // the newest version served until end
@@ -202,8 +203,8 @@
 	for i := range c.h.Ops {
 		op := &c.h.Ops[i]
 		if v := c.versions[op.Value]; op.Kind == Write && op.Outcome == Served && v != nil && !v.Lost {
-			p := key{op.Slice, op.Key}
-			byKey[p] = append(byKey[p], answered{op.End, v})
+			k := key{op.Slice, op.Key}
+			byKey[k] = append(byKey[k], answered{op.End, v})
 		}
 	}
 	for _, all := range byKey {
@@ -226,12 +227,12 @@
 		}
 		required := all[n-1].v
 		if op.Excused {
-			c.rules[BoundedAge].Excused++
+			c.rules[BoundedStaleness].Excused++
 			continue
 		}
-		c.rules[BoundedAge].Chances++
+		c.rules[BoundedStaleness].Chances++
 		if got, known := c.orderOf(op); known && got < required.order {
-			c.addViolation(BoundedAge, fmt.Sprintf("%s lacks %q, answered over %v before", op.ID, required.Value, op.Bound), i, required.writer, c.writer(op))
+			c.addViolation(BoundedStaleness, fmt.Sprintf("%s lacks %q, answered over %v before", op.ID, required.Value, op.Bound), i, required.writer, c.writer(op))
 		}
 	}
 }
--- a/lab/history/history_test.go
+++ b/lab/history/history_test.go
@@ -60,10 +60,10 @@
 // TestPlanted checks that each violation is found by its rule and reported with only the operations that cause it.
 func TestPlanted(t *testing.T) {
 	for _, c := range []struct {
-		name string
-		rule int
-		part string // the operations shown
-		text string
+		name  string
+		rule  int
+		shown string // ids of the operations in the violation
+		text  string
 	}{
 		{"own write missed", ReadYourWrites, "a b", `
 			log x=1
@@ -131,11 +131,11 @@
 			w2 b w y 2 0 5
 			a2 b r x - 6 8 covered=w2,w1
 			b2 a r y 2 6 8 covered=w1,w2`},
-		{"older than its bound", BoundedAge, "w1 b", `
+		{"older than its bound", BoundedStaleness, "w1 b", `
 			log x=1
 			w1 u w x 1 0 5
 			b s r x - 206 209 bound=200`},
-		{"an older value than the bound allows", BoundedAge, "w1 w2 b", `
+		{"an older value than the bound allows", BoundedStaleness, "w1 w2 b", `
 			log x=1 x=2 x=3
 			w1 u w x 1 0 5
 			w2 u w x 2 6 9
@@ -176,8 +176,8 @@
 					for _, op := range r.Broken[0].Ops {
 						ids = append(ids, op.ID)
 					}
-					if got := strings.Join(ids, " "); got != c.part {
-						t.Errorf("shown by %s, want %s\n%v", got, c.part, &r.Broken[0])
+					if got := strings.Join(ids, " "); got != c.shown {
+						t.Errorf("shown by %s, want %s\n%v", got, c.shown, &r.Broken[0])
 					}
 				}
 			}
--- a/lab/history/linearize.go
+++ b/lab/history/linearize.go
@@ -49,19 +49,19 @@
 		if op.Kind == Read {
 			c.rules[Linearizable].Chances++
 		}
-		p := key{op.Slice, op.Key}
-		if byKey[p] == nil {
-			order = append(order, p)
+		k := key{op.Slice, op.Key}
+		if byKey[k] == nil {
+			order = append(order, k)
 		}
-		byKey[p] = append(byKey[p], i)
+		byKey[k] = append(byKey[k], i)
 	}
-	for _, p := range order {
-		switch c.check(byKey[p]) {
+	for _, k := range order {
+		switch c.check(byKey[k]) {
 		case porcupine.Unknown:
-			c.addViolation(Linearizable, fmt.Sprintf("%s/%s: no verdict on %d operations within %v", p.slice, p.key, len(byKey[p]), maxCheckTime))
+			c.addViolation(Linearizable, fmt.Sprintf("%s/%s: no verdict on %d operations within %v", k.slice, k.key, len(byKey[k]), maxCheckTime))
 		case porcupine.Illegal:
-			part := c.shrink(byKey[p])
-			c.addViolation(Linearizable, fmt.Sprintf("no order of the writes and fresh reads of %s/%s explains these", p.slice, p.key), part...)
+			part := c.shrink(byKey[k])
+			c.addViolation(Linearizable, fmt.Sprintf("no order of the writes and fresh reads of %s/%s explains these", k.slice, k.key), part...)
 		}
 	}
 }
--- a/lab/history/sessions.go
+++ b/lab/history/sessions.go
@@ -53,32 +53,32 @@
 
 var emptyPast = &past{}
 
-func (f *past) at(p key) (entry, bool) {
-	e, ok := f.seen[p]
+func (p *past) at(k key) (entry, bool) {
+	e, ok := p.seen[k]
 	return e, ok
 }
 
 // merge returns the past merged with entries, each passed through convert, which may reject it. An entry replaces the
 // one of the same key if its version is newer, or the same with a shorter chain.
-func (f *past) merge(entries map[key]entry, convert func(key, entry) (entry, bool)) *past {
+func (p *past) merge(entries map[key]entry, convert func(key, entry) (entry, bool)) *past {
 	var out *past
-	for p, e := range entries {
-		known, ok := f.seen[p]
+	for k, e := range entries {
+		known, ok := p.seen[k]
 		if ok && (known.v.order > e.v.order || known.v.order == e.v.order && known.chain.len <= e.chain.len) {
 			continue
 		}
-		if e, ok = convert(p, e); !ok || known.v == e.v && known.chain.len <= e.chain.len {
+		if e, ok = convert(k, e); !ok || known.v == e.v && known.chain.len <= e.chain.len {
 			continue
 		}
 		if out == nil {
-			if out = (&past{maps.Clone(f.seen)}); out.seen == nil {
+			if out = (&past{maps.Clone(p.seen)}); out.seen == nil {
 				out.seen = map[key]entry{}
 			}
 		}
-		out.seen[p] = e
+		out.seen[k] = e
 	}
 	if out == nil {
-		return f
+		return p
 	}
 	return out
 }
@@ -132,34 +132,34 @@
 	c.state[i] = visited
 }
 
-// pastAfter returns the causal past after an operation: f, the version that it wrote or read, and the causal past of
+// pastAfter returns the causal past after an operation: p, the version that it wrote or read, and the causal past of
 // that version's writer in the same slice.
-func (c *checker) pastAfter(i int, f *past) *past {
+func (c *checker) pastAfter(i int, p *past) *past {
 	op := &c.h.Ops[i]
 	v := c.versions[op.Value]
 	if op.Outcome != Served || op.Value == "" || v == nil || v.Lost {
-		return f
+		return p
 	}
 	at, source := key{v.Slice, v.Key}, ownWrite
 	if op.Kind == Read {
 		source = ownRead
-		f = c.mergeWriterPast(i, v, f)
+		p = c.mergeWriterPast(i, v, p)
 	}
-	return f.merge(map[key]entry{at: {v, source, (*step)(nil).extend(i)}}, unchanged)
+	return p.merge(map[key]entry{at: {v, source, (*step)(nil).extend(i)}}, unchanged)
 }
 
-// mergeWriterPast returns f merged with the causal past of the writer of v, which operation i read.
-func (c *checker) mergeWriterPast(i int, v *version, f *past) *past {
+// mergeWriterPast returns p merged with the causal past of the writer of v, which operation i read.
+func (c *checker) mergeWriterPast(i int, v *version, p *past) *past {
 	if v.writer < 0 {
-		return f
+		return p
 	}
 	c.visit(v.writer)
 	past := c.before[v.writer]
 	if past == nil {
-		return f
+		return p
 	}
-	return f.merge(past.seen, func(p key, e entry) (entry, bool) {
-		return entry{e.v, viaWriter, e.chain.extend(v.writer).extend(i)}, p.slice == v.Slice && p.key != v.Key
+	return p.merge(past.seen, func(k key, e entry) (entry, bool) {
+		return entry{e.v, viaWriter, e.chain.extend(v.writer).extend(i)}, k.slice == v.Slice && k.key != v.Key
 	})
 }
 
--- a/lab/soak/judge.go
+++ b/lab/soak/judge.go
@@ -59,8 +59,8 @@
 func (r *run) sinceTerm(at time.Time) time.Duration { return at.Sub(r.termAt).Round(time.Millisecond) }
 
 // checkAnswered checks that each request written is answered in time, with the value that a member sent. It excuses
-// requests without an answer that reached no member if their connection ended soon after they were written, as the driver
-// may not have read them. With a crowd it also excuses the first request of a connection that was reset.
+// requests without an answer that reached no member if their connection ended soon after they were written, as the
+// driver may not have read them. With a crowd it also excuses the first request of a connection that was reset.
 func (r *run) checkAnswered(requests []request, arrivals map[string][]arrival, slack time.Duration) *lab.Rule {
 	rule := &lab.Rule{Name: "answered"}
 	for i := range requests {
--- a/lab/soak/plan.go
+++ b/lab/soak/plan.go
@@ -37,7 +37,7 @@
 
 // The troubles.
 const (
-	MemberWell MemberTrouble = iota
+	MemberHealthy MemberTrouble = iota
 	MemberDrains
 	MemberHangs
 	MemberMoves      // it restarts at a new address
@@ -97,7 +97,7 @@
 // String describes the plan in one line.
 func (p *Plan) String() string {
 	parts := []string{p.Signals.String(), p.Trouble.String()}
-	if p.Trouble != MemberWell {
+	if p.Trouble != MemberHealthy {
 		parts[1] += fmt.Sprintf(" (%d)", p.Member)
 	}
 	if p.Crowd {
--- a/lab/soak/run.go
+++ b/lab/soak/run.go
@@ -77,7 +77,7 @@
 const (
 	firstReady   = 30 * time.Second       // time limit for a start
 	restartReady = 10 * time.Second       // time limit for the restart of the second driver
-	reloadDelay  = 4 * time.Second        // time after the start of a drain by which it must have reached a driver that got SIGHUP
+	reloadDelay  = 4 * time.Second        // added to the time until a driver that got SIGHUP must know of a drain
 	crowdLead    = 200 * time.Millisecond // time from the first crowd connections to the first signal
 )
 
--- a/lab/world/node.go
+++ b/lab/world/node.go
@@ -21,10 +21,11 @@
 	lsn        uint64
 	commits    []commit // of the current timeline's log, by rising LSN
 	byKey      map[string][]commit
-	lost       []commit // commits lost by promotions
-	promotedAt time.Duration
+	lost       []commit      // commits lost by promotions
+	promotedAt time.Duration // time of the last promotion; 0 for none
 }
 
+// commit is a log record. at is the time of the commit or, in node.applied, of the replay.
 type commit struct {
 	lsn        uint64
 	at         time.Duration
@@ -48,11 +49,11 @@
 	down           bool
 	epoch          int // increased by each crash: work of an earlier epoch has no effect
 	busyCores      int
-	queue          []func()
+	queue          []func() // executions waiting for a core
 	drawWork       func() time.Duration
 	links          map[*link]bool
 	timeline       uint32
-	applied        []commit // on a replica, when it has replayed each log position
+	applied        []commit // on a replica, the log records in order, each with the time when it has been replayed
 	replayFreeAt   time.Duration
 	replayTime     time.Duration // time to replay one record
 	zone           string
--- a/lab/world/world.go
+++ b/lab/world/world.go
@@ -232,14 +232,14 @@
 	need           position.Position // position that the session's token requires
 	host           *host
 	ticket         *admission.Ticket
-	try            int
+	try            int           // number of the client's try, from 0
 	firstSent      time.Duration // when the client sent the first try
 	key            string
-	lateRead       bool // it takes its data at the end of execution
-	promotedDuring bool // a promotion happened during its execution
-	covered        []string
+	lateRead       bool     // it takes its data at the end of execution
+	promotedDuring bool     // a promotion happened during its execution
+	covered        []string // the operations that the session's token covers
 	sends          int
-	ran            bool
+	ran            bool // its write was committed
 	silenced       bool // its answer is withheld by PlantSilent
 	faulty         bool // it fails with an error of its own at any node
 	attempts       []*attempt
@@ -273,8 +273,8 @@
 	s.covered[q.slice.name] = append(rest, q.name())
 }
 
-// startArrivals schedules the clients' requests. Open-loop arrivals are drawn per driver, each when the one before it
-// takes place.
+// startArrivals schedules the clients' requests. Open-loop arrivals are drawn per driver, each at the time of
+// the previous one.
 func (w *World) startArrivals() {
 	switch {
 	case len(w.cfg.Arrivals) > 0:
