--- a/lab/history/history.go
+++ b/lab/history/history.go
@@ -29,7 +29,7 @@
 const (
 	Served  Outcome = iota
 	Refused         // the driver answered that it had no effect
-	Unknown         // it may have taken effect, or may still do so
+	Unknown         // it may have taken effect, or may take effect later
 )
 
 // Op is one operation as its client observed it. All times are on one clock.
@@ -43,12 +43,12 @@
 	Begin   time.Duration
 	End     time.Duration // when its client received the answer
 	Outcome Outcome
-	// Covered lists the operations covered by the token it was sent with: of its own session, or of other sessions that
+	// Covered lists the operations that its token covers: those of its own session, and those of other sessions that
 	// passed their tokens on.
 	Covered []string
 	Fresh   bool          // a read that must return the latest value
 	Bound   time.Duration // most staleness allowed; 0 for any
-	Excused bool          // of a read: answered by a former primary before any driver was notified of its demotion
+	Excused bool          // of a read: served by a former primary before any driver was notified of its demotion
 	Source  string        // answering node and its reported state; printed only, never judged
 }
 
@@ -68,7 +68,7 @@
 type Rule struct {
 	Name    string
 	Chances int // occasions on which it could have been broken
-	Excused int
+	Excused int // reads not judged because their Op is excused
 	Broken  []Violation
 }
 
@@ -108,7 +108,7 @@
 	MonotonicWrites
 	WritesFollowReads
 	CausalOrder
-	BoundedAge
+	BoundedStaleness
 	Linearizable
 	AnswersKept
 	rules
@@ -117,11 +117,12 @@
 var ruleNames = [rules]string{"read your writes", "monotonic reads", "monotonic writes", "writes follow reads", "causal order",
 	"bounded age", "linearizable", "answers kept"}
 
-// Check checks a history and returns all rules, in the order of the indexes above.
+// Check checks a history and returns all rules, in the order of their indexes, such as ReadYourWrites. It takes up to
+// 20 s per key to check linearizability, and longer to shorten a violation.
 func Check(h *History) []*Rule {
 	c := newChecker(h)
 	c.checkSessions()
-	c.checkAges()
+	c.checkStaleness()
 	c.checkAnswers()
 	c.checkLinearizable()
 	return c.rules
@@ -138,7 +139,7 @@
 // key is a key of a slice.
 type key struct{ slice, key string }
 
-// version is a Version with its index in the history.
+// version is a Version with its index in History.Versions.
 type version struct {
 	Version
 	order  int
@@ -152,8 +153,8 @@
 	versions map[string]*version // by value
 	byKey    map[key][]*version
 	after    []*past // by operation: its client's causal past including the operation
-	before   []*past
-	state    []uint8 // by operation, of visit
+	before   []*past // by operation: its client's causal past without the operation
+	state    []uint8 // by operation, the state of its visit
 }
 
 func newChecker(h *History) *checker {
@@ -191,18 +192,19 @@
 	c.rules[rule].Broken = append(c.rules[rule].Broken, v)
 }
 
-// checkAges finds reads that miss a write answered longer ago than their bound.
-func (c *checker) checkAges() {
+// checkStaleness finds reads that miss a write whose answer precedes the begin of the read by more than the read's
+// bound.
+func (c *checker) checkStaleness() {
 	type answered struct {
 		end time.Duration
-		v   *version // the newest version answered by then
+		v   *version // the newest version served until end
 	}
 	byKey := map[key][]answered{}
 	for i := range c.h.Ops {
 		op := &c.h.Ops[i]
 		if v := c.versions[op.Value]; op.Kind == Write && op.Outcome == Served && v != nil && !v.Lost {
-			p := key{op.Slice, op.Key}
-			byKey[p] = append(byKey[p], answered{op.End, v})
+			k := key{op.Slice, op.Key}
+			byKey[k] = append(byKey[k], answered{op.End, v})
 		}
 	}
 	for _, all := range byKey {
@@ -225,18 +227,18 @@
 		}
 		required := all[n-1].v
 		if op.Excused {
-			c.rules[BoundedAge].Excused++
+			c.rules[BoundedStaleness].Excused++
 			continue
 		}
-		c.rules[BoundedAge].Chances++
+		c.rules[BoundedStaleness].Chances++
 		if got, known := c.orderOf(op); known && got < required.order {
-			c.addViolation(BoundedAge, fmt.Sprintf("%s lacks %q, answered over %v before", op.ID, required.Value, op.Bound), i, required.writer, c.writer(op))
+			c.addViolation(BoundedStaleness, fmt.Sprintf("%s lacks %q, answered over %v before", op.ID, required.Value, op.Bound), i, required.writer, c.writer(op))
 		}
 	}
 }
 
-// orderOf returns the order of the version an operation read or wrote, -1 for no value. It is unknown for a version
-// lost by a promotion.
+// orderOf returns the order of the version that an operation read or wrote, -1 for no value. It is unknown for a version
+// lost by a promotion and for a value that is not in the log.
 func (c *checker) orderOf(op *Op) (order int, known bool) {
 	if op.Value == "" {
 		return -1, true
--- a/lab/world/node.go
+++ b/lab/world/node.go
@@ -21,10 +21,11 @@
 	lsn        uint64
 	commits    []commit // of the current timeline's log, by rising LSN
 	byKey      map[string][]commit
-	lost       []commit // commits lost by promotions
-	promotedAt time.Duration
+	lost       []commit      // commits lost by promotions
+	promotedAt time.Duration // time of the last promotion; 0 for none
 }
 
+// commit is a log record. at is the time of the commit or, in node.applied, of the replay.
 type commit struct {
 	lsn        uint64
 	at         time.Duration
@@ -48,11 +49,11 @@
 	down           bool
 	epoch          int // increased by each crash: work of an earlier epoch has no effect
 	busyCores      int
-	queue          []func()
+	queue          []func() // executions waiting for a core
 	drawWork       func() time.Duration
 	links          map[*link]bool
 	timeline       uint32
-	applied        []commit // on a replica, when it has replayed each log position
+	applied        []commit // on a replica, the log records in order, each with the time when it has been replayed
 	replayFreeAt   time.Duration
 	replayTime     time.Duration // time to replay one record
 	zone           string
@@ -60,7 +61,7 @@
 	slowdown       float64         // factor on execution times
 	stalledUntil   time.Duration   // until then it processes nothing
 	startedAt      time.Duration   // last start during the run; 0 for none
-	coldArrivals   []time.Duration // arrivals within the last fall time while it is cold
+	coldArrivals   []time.Duration // arrivals within the last ColdOverloadWindow while it is cold
 	coldBroken     bool            // it has broken RuleCold since its start
 	replaySlowdown float64         // factor on replayTime
 	cap            int             // most connections it accepts; 0 for no limit
@@ -233,7 +234,7 @@
 	}
 }
 
-// lacksCommitBefore reports whether a log position lacks a commit made before a time.
+// lacksCommitBefore reports whether a commit made before a time is missing at a log position.
 func (s *slice) lacksCommitBefore(at position.Position, before time.Duration) bool {
 	i := sort.Search(len(s.commits), func(i int) bool { return s.commits[i].lsn > at.LSN })
 	return i < len(s.commits) && s.commits[i].at < before
@@ -276,7 +277,7 @@
 	n.links = map[*link]bool{}
 }
 
-// promote makes the replica with the highest log position the primary. Commits that it lacks are lost.
+// promote makes the running replica with the highest log position the primary. Commits that it lacks are lost.
 func (s *slice) promote() {
 	var best *node
 	for _, n := range s.nodes {
