--- a/cmd/umberladder/sim.go
+++ b/cmd/umberladder/sim.go
@@ -24,7 +24,7 @@
 		Short: "Run drivers' engines against modelled nodes in simulated time; figures are the model's",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			cfg := world.Newsroom(drivers, slices, members, rate, length)
+			cfg := world.NewsroomConfig(drivers, slices, members, rate, length)
 			cfg.Seed, cfg.Crashes, cfg.CheckSessions, cfg.LateReads = seed, crashes, judge, late
 			var known bool
 			if cfg.TokenPolicy, known = keepModes[keep]; !known {
--- a/lab/experiment/file.go
+++ b/lab/experiment/file.go
@@ -70,7 +70,7 @@
 
 // config returns the configuration of a run, without its seed.
 func (s *setup) config() world.Config {
-	cfg := world.Newsroom(s.drivers, s.slices, s.members, s.rate, s.length)
+	cfg := world.NewsroomConfig(s.drivers, s.slices, s.members, s.rate, s.length)
 	cfg.Cores, cfg.Work, cfg.WorkSigma, cfg.LinkDelay, cfg.CrossZoneDelay, cfg.ReplicationDelay, cfg.ReplayTime = s.cores, s.work, s.workSpread, s.oneWayDelay, s.crossZoneDelay, s.shipDelay, s.applyDelay
 	cfg.ElectionTime, cfg.ListDelay, cfg.MaxTries, cfg.RetryPause, cfg.RetryBudget, cfg.EventCost = s.electionTime, s.noticeDelay, s.maxTries, s.retryPause, s.retryBudget, s.eventCost
 	cfg.Sessions, cfg.KeysPerSlice, cfg.SlicesPerSession, cfg.CheckSessions, cfg.Troubles, cfg.Engine.Zones = s.sessions, s.keys, s.slicesPerSession, s.checkSessions, s.troubles, s.zones
--- a/lab/live.go
+++ b/lab/live.go
@@ -97,7 +97,7 @@
 		l.nodes = append(l.nodes, g.Nodes())
 		for _, n := range g.Nodes() {
 			n.SetLink(func(driver string) (time.Duration, float64) { return l.linkTo(driver, n) })
-			if cfg.Plant == world.PlantOld {
+			if cfg.Plant == world.PlantStaleRead {
 				n.ServeStale(plantedAge)
 			}
 		}
--- a/lab/live_test.go
+++ b/lab/live_test.go
@@ -11,7 +11,7 @@
 
 // shortWorld runs for a few seconds with a drain, a primary crash and a slow replica.
 func shortWorld(seed uint64) world.Config {
-	cfg := world.Newsroom(2, 1, 4, 90, 7*time.Second)
+	cfg := world.NewsroomConfig(2, 1, 4, 90, 7*time.Second)
 	cfg.Seed, cfg.Cores, cfg.Work, cfg.ElectionTime, cfg.ListDelay, cfg.MaxTries = seed, 1, 10*time.Millisecond, 500*time.Millisecond, 200*time.Millisecond, 2
 	cfg.Engine.Zones = []string{"a", "b"}
 	cfg.CrossZoneDelay = 2 * time.Millisecond
--- a/lab/livetrouble.go
+++ b/lab/livetrouble.go
@@ -274,7 +274,7 @@
 
 // repeatWrite sends a write that was served a second time.
 func (r *rogue) repeatWrite(c *Call) {
-	if r.live.cfg.Plant != world.PlantTwice || c.Class.Effect != balance.Unsafe || c.Verdict != Served || c.Tag[len(c.Tag)-1] != '7' {
+	if r.live.cfg.Plant != world.PlantDuplicateWrite || c.Class.Effect != balance.Unsafe || c.Verdict != Served || c.Tag[len(c.Tag)-1] != '7' {
 		return
 	}
 	for _, g := range r.live.fleet.Groups {
--- a/lab/world/host.go
+++ b/lab/world/host.go
@@ -203,7 +203,7 @@
 	l.awaiting = true
 	h.checkDrain(to, q)
 	l.deliver(&l.lastToNode, func() { to.serve(l, q, write, guard) })
-	if w.cfg.Plant == PlantTwice && unsafe && w.plantRand.IntN(10) == 0 {
+	if w.cfg.Plant == PlantDuplicateWrite && unsafe && w.plantRand.IntN(10) == 0 {
 		l.deliver(&l.lastToNode, func() { to.serve(l, q, write, guard) })
 	}
 }
--- a/lab/world/newsroom.go
+++ b/lab/world/newsroom.go
@@ -10,9 +10,9 @@
 
 const ms = time.Millisecond
 
-// Newsroom returns the configuration of the reference site: the users' three request classes and slices of four-core
+// NewsroomConfig returns the configuration of the reference site: the users' three request classes and slices of four-core
 // nodes. The rate is in requests per second over all clients.
-func Newsroom(drivers, slices, members int, rate float64, length time.Duration) Config {
+func NewsroomConfig(drivers, slices, members int, rate float64, length time.Duration) Config {
 	return Config{Seed: 1, Drivers: drivers, Slices: slices, Members: members, Rate: rate, Length: length, Cores: 4, Work: 50 * ms, WorkSigma: 0.7,
 		LinkDelay: 500 * time.Microsecond, ReplicationDelay: 6 * ms, ReplayTime: 3 * ms, Shares: []float64{0.46, 0.40, 0.14}, ElectionTime: 2 * time.Second, Downtime: 5 * time.Second, KeysPerSlice: 20, Sessions: 50,
 		Engine: driver.Config{Zones: []string{"a"}, MaxOpen: 20000, PoolSize: 64, IdleClose: 30 * time.Second, Linger: 10 * time.Second,
--- a/lab/world/node.go
+++ b/lab/world/node.go
@@ -180,7 +180,7 @@
 // visibleLSN returns the log position up to which reads see data: the node's position, except under PlantOld.
 func (n *node) visibleLSN() uint64 {
 	lsn, s := n.position().LSN, n.slice
-	if s.w.cfg.Plant != PlantOld {
+	if s.w.cfg.Plant != PlantStaleRead {
 		return lsn
 	}
 	i := sort.Search(len(s.commits), func(i int) bool { return s.commits[i].at > s.w.now-plantedStaleness })
--- a/lab/world/overload.go
+++ b/lab/world/overload.go
@@ -47,7 +47,7 @@
 // nodes, with an event loop that needs 100 us per event. Clients try three times and wait only as long as a refusal
 // advises.
 func overloadConfig(seed uint64, arm Arm, b Burst) Config {
-	cfg := Newsroom(2, 1, 6, 400, runLength)
+	cfg := NewsroomConfig(2, 1, 6, 400, runLength)
 	cfg.Seed, cfg.EventCost, cfg.MaxTries, cfg.Burst = seed, 100*time.Microsecond, 3, b
 	if arm.Gate != nil {
 		cfg.Gate = arm.Gate(&cfg)
--- a/lab/world/rules.go
+++ b/lab/world/rules.go
@@ -86,13 +86,13 @@
 
 // The planted faults, one for each rule.
 const (
-	NoPlant      Plant = iota
-	PlantSilent        // one answer in a hundred is withheld
-	PlantTwice         // one unsafe write in ten is sent twice
-	PlantDrained       // reads for other nodes of the slice are sent to a draining one
-	PlantCold          // all reads of a slice are sent to a node started within twice ColdOverloadWindow
-	PlantOld           // nodes answer reads with data five seconds old and report their current position
-	numPlants    int   = iota
+	NoPlant             Plant = iota
+	PlantSilent               // one answer in a hundred is withheld
+	PlantDuplicateWrite       // one unsafe write in ten is sent twice
+	PlantDrained              // reads for other nodes of the slice are sent to a draining one
+	PlantCold                 // all reads of a slice are sent to a node started within twice ColdOverloadWindow
+	PlantStaleRead            // nodes answer reads with data five seconds old and report their current position
+	numPlants           int   = iota
 )
 
 var plantNames = [numPlants]string{"none", "silent", "twice", "drained", "cold", "old"}
--- a/lab/world/storm_test.go
+++ b/lab/world/storm_test.go
@@ -14,7 +14,7 @@
 	const tolerance = 0.1 // share of the offered value, as on the operators' calm day
 	for _, seed := range []uint64{1, 2} {
 		valueShare := func(drivers int) float64 {
-			cfg := Newsroom(drivers, 2, 6, 816, 7*time.Second)
+			cfg := NewsroomConfig(drivers, 2, 6, 816, 7*time.Second)
 			cfg.Seed, cfg.MaxTries, cfg.RetryPause, cfg.ConnectTime = seed, 4, 100*ms, 6*ms
 			cfg.Engine.Router.ParallelAttempts, cfg.Engine.Router.AttemptLimit = true, 4
 			cfg.Engine.Router.MaxRetryAfter = 300 * ms
--- a/lab/world/world_test.go
+++ b/lab/world/world_test.go
@@ -8,7 +8,7 @@
 )
 
 func siteConfig(drivers, slices int, rate float64, length time.Duration) Config {
-	cfg := Newsroom(drivers, slices, 6, rate, length)
+	cfg := NewsroomConfig(drivers, slices, 6, rate, length)
 	cfg.Seed = 7
 	return cfg
 }
