--- a/lab/experiment/class.go
+++ b/lab/experiment/class.go
@@ -21,7 +21,7 @@
 	effects         = map[string]balance.Effect{"safe": balance.Safe, "keyed": balance.Keyed, "unsafe": balance.Unsafe}
 )
 
-// parseClass parses a class block. The classes of a file replace the default ones of world.Newsroom.
+// parseClass parses a class block. The classes of a file replace the default ones of world.NewsroomConfig.
 func (p *fileParser) parseClass(s *setup, d conffile.Directive) {
 	if len(d.Args) != 1 || !d.HasBlock {
 		p.AddProblem(d.Name, "class needs a name and a block")
--- a/lab/world/node.go
+++ b/lab/world/node.go
@@ -177,7 +177,7 @@
 	n.queue = append(n.queue, run)
 }
 
-// visibleLSN returns the log position up to which reads see data: the node's position, except under PlantOld.
+// visibleLSN returns the log position up to which reads see data: the node's position, except under PlantStaleRead.
 func (n *node) visibleLSN() uint64 {
 	lsn, s := n.position().LSN, n.slice
 	if s.w.cfg.Plant != PlantStaleRead {
--- a/lab/world/rules.go
+++ b/lab/world/rules.go
@@ -118,7 +118,7 @@
 	return [numPlants]string{"", RuleAnswer, RuleEffect, RuleDrain, RuleCold, RuleStale}[p]
 }
 
-const plantedStaleness = 5 * time.Second // age of the data that PlantOld serves
+const plantedStaleness = 5 * time.Second // age of the data that PlantStaleRead serves
 
 // plantedTarget returns the node to send a request to: n, unless PlantDrained or PlantCold redirects the request.
 func (h *host) plantedTarget(n *node, q *request, write bool) *node {
