--- a/cmd/umberladder/platform.go
+++ b/cmd/umberladder/platform.go
@@ -35,7 +35,7 @@
 			if err != nil {
 				return err
 			}
-			if err := cfg.Limit(); err != nil {
+			if err := cfg.ApplyLimits(); err != nil {
 				return err
 			}
 			var trace func(string, ...any)
